--- a/packages/experiment/src/emulatedDaemon.ts
+++ b/packages/experiment/src/emulatedDaemon.ts
@@ -35,7 +35,7 @@
 /** A daemon's decisions as they serve, driven in virtual time. */
 export class EmulatedDaemon {
   readonly name: string;
-  readonly board = new serving.EngineBoard();
+  readonly board = new serving.EngineLoadTracker();
   readonly speeds = new serving.EngineSpeeds();
   readonly demand = new serving.Demand();
   readonly sizeShares = new serving.SizeShares();
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -16,7 +16,7 @@
   readonly metrics: metricsModule.Metrics;
   readonly format: ports.MessageFormat;
   readonly view: fleetViews.FleetView;
-  readonly board: serving.EngineBoard;
+  readonly board: serving.EngineLoadTracker;
   readonly health: serving.EndpointHealth;
   /** What is known of the speed of each service's engines. */
   readonly speeds: serving.ServiceSpeeds;
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -117,7 +117,7 @@
       metrics: this.#metrics,
       format: surroundings.format,
       view: this.#view,
-      board: new serving.EngineBoard(),
+      board: new serving.EngineLoadTracker(),
       health: new serving.EndpointHealth(),
       speeds: new serving.ServiceSpeeds(),
       demand: new serving.Demand(),
--- a/packages/gateway/src/peerLink.ts
+++ b/packages/gateway/src/peerLink.ts
@@ -40,7 +40,7 @@
   readonly settings: settingsModule.GatewaySettings;
   readonly entry: daemonEntries.DaemonEntry;
   readonly view: fleetViews.FleetView;
-  readonly board: serving.EngineBoard;
+  readonly board: serving.EngineLoadTracker;
   readonly demand: serving.Demand;
   readonly speeds: serving.ServiceSpeeds;
   readonly sizeShares: serving.SizeShares;
--- a/packages/gateway/src/peerWork.ts
+++ b/packages/gateway/src/peerWork.ts
@@ -16,7 +16,7 @@
 /** What daemons tell each other about is kept in. */
 export interface PeerWorkParts {
   readonly view: fleetViews.FleetView;
-  readonly board: serving.EngineBoard;
+  readonly board: serving.EngineLoadTracker;
   readonly demand: serving.Demand;
   readonly speeds: serving.ServiceSpeeds;
   readonly sizeShares: serving.SizeShares;
--- a/packages/gateway/tests/helpers/exchangeStand.ts
+++ b/packages/gateway/tests/helpers/exchangeStand.ts
@@ -191,7 +191,7 @@
       metrics: new metricsModule.Metrics(),
       format: FORMAT,
       view,
-      board: new serving.EngineBoard(),
+      board: new serving.EngineLoadTracker(),
       health: new serving.EndpointHealth(),
       speeds: new serving.ServiceSpeeds(),
       demand: new serving.Demand(),
--- a/packages/gateway/tests/peerLink.test.ts
+++ b/packages/gateway/tests/peerLink.test.ts
@@ -63,7 +63,7 @@
     settings: { peers: { host: HOST, port: await freePorts.freePort() } } as never,
     entry,
     view,
-    board: new serving.EngineBoard(),
+    board: new serving.EngineLoadTracker(),
     demand: new serving.Demand(),
     speeds: new serving.ServiceSpeeds(),
     suspects: new serving.SuspectTable({ isRefuted: () => false, onChange: () => undefined }),
--- a/packages/gateway/tests/peerLives.test.ts
+++ b/packages/gateway/tests/peerLives.test.ts
@@ -28,7 +28,7 @@
 /** One daemon's link, and a peer of it that is a bare socket. */
 class Pair {
   readonly view = new fleetViews.FleetView();
-  readonly board = new serving.EngineBoard();
+  readonly board = new serving.EngineLoadTracker();
   readonly departures: [id: string, departure: beliefs.Departure][] = [];
   readonly heard: messages.Pulse[] = [];
   readonly lines: string[] = [];
--- a/packages/serving/src/engineBoard.ts
+++ b/packages/serving/src/engineBoard.ts
@@ -60,7 +60,7 @@
  * exact: it is taken off when the engine has read the prompt, not when a guess
  * says so. A peer's work counts until its next word, or until it expires.
  */
-export class EngineBoard {
+export class EngineLoadTracker {
   readonly #states = new Map<string, EndpointState>();
   readonly #peers = new Map<string, PeerWord>();
   /**
--- a/packages/serving/src/leastBusy.ts
+++ b/packages/serving/src/leastBusy.ts
@@ -11,7 +11,7 @@
 /** What the choice rests on. */
 export interface PlainChoiceInputs {
   readonly endpoints: readonly directories.Endpoint[];
-  readonly board: boards.EngineBoard;
+  readonly board: boards.EngineLoadTracker;
   readonly health: healths.EndpointHealth;
   readonly dataCentre: string;
   /** @returns a uniform number in [0, 1) */
--- a/packages/serving/src/placement.ts
+++ b/packages/serving/src/placement.ts
@@ -32,7 +32,7 @@
 export interface PlacementInputs {
   readonly prompt: promptParts.Prompt;
   readonly engines: readonly directories.Endpoint[];
-  readonly board: boards.EngineBoard;
+  readonly board: boards.EngineLoadTracker;
   readonly memoryTokens: number;
   /** What is known of the speed of the service's engines. */
   readonly speeds: engineSpeeds.EngineSpeeds;
--- a/packages/serving/tests/endpointLives.test.ts
+++ b/packages/serving/tests/endpointLives.test.ts
@@ -140,7 +140,7 @@
 // Peers counted work at the former life, and this daemon has reads to tell of it. Kept, the new life would look busy,
 // and peers would take parts for read that nobody has. Own work ends with its own requests and stays exact.
 suite("what is guessed or told of a former life is dropped, own work stays", () => {
-  const board = new serving.EngineBoard();
+  const board = new serving.EngineLoadTracker();
   const prompt = {
     model: "m",
     parts: [
--- a/packages/serving/tests/placement.test.ts
+++ b/packages/serving/tests/placement.test.ts
@@ -25,7 +25,12 @@
   return { model: "m", parts, promptTokens: 5_500 + ownTokens, outputTokens: 100 };
 }
 
-function place(board: serving.EngineBoard, of: serving.Prompt, engines = FLEET, pauseAimMs = 300): serving.EnginePlan {
+function place(
+  board: serving.EngineLoadTracker,
+  of: serving.Prompt,
+  engines = FLEET,
+  pauseAimMs = 300,
+): serving.EnginePlan {
   const plan = serving.placePrompt({
     prompt: of,
     engines,
@@ -44,7 +49,7 @@
 // The load: many callers ask about the same few dossiers. Read at whichever engine is free, each dossier would be
 // read at all of them; kept at its home, it is read once.
 suite("prompts that share a dossier are read at one engine, and the dossier once", () => {
-  const board = new serving.EngineBoard();
+  const board = new serving.EngineLoadTracker();
   let unread = 0;
   const readers = new Map<string, Set<string>>();
   for (let index = 0; index < 120; index++) {
@@ -62,7 +67,7 @@
 // The load: a decode engine streams to many callers. Every piece of a prompt read there delays all their tokens;
 // without counting that, long answers missed their deadlines.
 suite("a prompt is read apart when reading it here would hold up many streams", () => {
-  const board = new serving.EngineBoard();
+  const board = new serving.EngineLoadTracker();
   // Its shared parts are cached everywhere, and the prefill engines have some tokens to read before it.
   for (const { id } of FLEET) board.noteRead(id, MEMORY_TOKENS, prompt("g", "before", 10));
   for (const id of ["p1", "p2"]) board.beginRead(id, 4_000, 0);
@@ -75,7 +80,7 @@
 // The load: prompts of some thousand tokens beside streams whose callers bear short pauses only. An event waits for all
 // that is read between its tokens, so one such prompt makes all streams of its engine late.
 suite("a prompt is read apart when the events beside it would be late, and a short one is not", () => {
-  const board = new serving.EngineBoard();
+  const board = new serving.EngineLoadTracker();
   for (const { id } of FLEET) board.noteRead(id, MEMORY_TOKENS, prompt("g", "before", 10));
   for (const id of ["p1", "p2"]) board.beginRead(id, 8_000, 0);
   for (const id of ["d1", "d2"]) for (let stream = 0; stream < 4; stream++) board.beginRun(id);
@@ -86,12 +91,12 @@
 });
 
 suite("a prompt is read where its tokens are made if no engine reads apart", () => {
-  const plan = place(new serving.EngineBoard(), prompt("g", "own", 1_000), FLEET.slice(2));
+  const plan = place(new serving.EngineLoadTracker(), prompt("g", "own", 1_000), FLEET.slice(2));
   assert.is(plan.reader, undefined);
 });
 
 suite("no plan without an engine that makes tokens", () => {
-  const inputs = { prompt: prompt("g", "o", 10), engines: FLEET.slice(0, 2), board: new serving.EngineBoard() };
+  const inputs = { prompt: prompt("g", "o", 10), engines: FLEET.slice(0, 2), board: new serving.EngineLoadTracker() };
   const rest = {
     memoryTokens: MEMORY_TOKENS,
     speeds: new serving.EngineSpeeds(),
@@ -105,7 +110,7 @@
 
 // A peer dies with work noted for it. Its word must expire, or the engine would look busy for ever.
 suite("a peer's work counts until its word is old", () => {
-  const board = new serving.EngineBoard();
+  const board = new serving.EngineLoadTracker();
   board.hear("peer", new Map([["p1", { unread: [900], running: 3 }]]), 0);
   assert.is(board.tokensAhead("p1", 0, 100), 900);
   assert.is(board.tokensAhead("p1", 0, 100 + serving.PEER_WORK_EXPIRY_MS), 0);
@@ -123,7 +128,7 @@
 // The load: one dossier is asked about so often that its home engine falls behind while the others are idle. Reading it
 // there again takes an engine away from others for hundreds of milliseconds; its memory can be copied in a few.
 suite("a dossier whose home has fallen behind is copied, not read again", () => {
-  const board = new serving.EngineBoard();
+  const board = new serving.EngineLoadTracker();
   const first = place(board, prompt("dossier", "first", 1_000));
   const home = (first.reader ?? first.decoder).id;
   board.noteRead(home, MEMORY_TOKENS, prompt("dossier", "first", 1_000), true);
@@ -137,7 +142,7 @@
 // A copy of what its home has not read yet brings nothing: the engine reads all of it, and the answer comes seconds
 // later than predicted.
 suite("a dossier that its home is still reading is not copied from there", () => {
-  const board = new serving.EngineBoard();
+  const board = new serving.EngineLoadTracker();
   const first = place(board, prompt("dossier", "first", 1_000));
   const home = (first.reader ?? first.decoder).id;
   board.noteRead(home, MEMORY_TOKENS, prompt("dossier", "first", 1_000));
@@ -148,7 +153,7 @@
 // An engine finishes the prompt that it has begun before it turns to a more urgent one. Short prompts beside long ones
 // took 140 to 190 ms where 45 had been predicted.
 suite("a short prompt waits for the long one that its engine has begun", () => {
-  const board = new serving.EngineBoard();
+  const board = new serving.EngineLoadTracker();
   assert.is(board.tokensBegun("p1", 2, 0), 0);
   board.beginRead("p1", 30_000, 7);
   const begun = board.tokensBegun("p1", 2, 0);
--- a/packages/serving/tests/promptAdmission.test.ts
+++ b/packages/serving/tests/promptAdmission.test.ts
@@ -33,7 +33,7 @@
   leaving: false,
 };
 
-function placement(board: serving.EngineBoard, tokens: number): serving.PlacementInputs {
+function placement(board: serving.EngineLoadTracker, tokens: number): serving.PlacementInputs {
   return {
     prompt: { model: "m", parts: [{ id: `own-${tokens}`, tokens }], promptTokens: tokens, outputTokens: 10 },
     engines: [ENGINE, { ...ENGINE, id: "d1", role: serving.EngineRole.Decode }],
@@ -48,7 +48,7 @@
 }
 
 function admit(
-  board: serving.EngineBoard,
+  board: serving.EngineLoadTracker,
   tokens: number,
   shares: serving.SizeShares,
   limits = LIMITS,
@@ -60,8 +60,8 @@
 }
 
 /** Both engines have prompts of medium length to read, for longer than callers wait. */
-function busyBoard(): serving.EngineBoard {
-  const board = new serving.EngineBoard();
+function busyBoard(): serving.EngineLoadTracker {
+  const board = new serving.EngineLoadTracker();
   for (const id of ["p1", "d1"]) board.beginRead(id, QUEUE_TOKENS, serving.urgencyOf(10_000));
   return board;
 }
@@ -86,13 +86,13 @@
 suite("a fleet that keeps up moves nothing up", () => {
   const shares = new serving.SizeShares();
   for (let index = 0; index < 20; index++) {
-    const admitted = admit(new serving.EngineBoard(), LONG_TOKENS / 4, shares);
+    const admitted = admit(new serving.EngineLoadTracker(), LONG_TOKENS / 4, shares);
     assert.is(admitted._unsafeUnwrap().level, serving.urgencyOf(LONG_TOKENS / 4));
   }
 });
 
 suite("what no level brings in time is turned away", () => {
-  const board = new serving.EngineBoard();
+  const board = new serving.EngineLoadTracker();
   for (const id of ["p1", "d1"]) board.beginRead(id, QUEUE_TOKENS, 0);
   const shares = new serving.SizeShares();
   for (let index = 0; index < 20; index++) assert.ok(admit(board, LONG_TOKENS, shares).isErr());
