--- a/packages/serving/src/index.ts
+++ b/packages/serving/src/index.ts
@@ -7,7 +7,7 @@
 export * from "./endpointDirectory.js";
 export * from "./endpointHealth.js";
 export * from "./endpointLives.js";
-export * from "./engineBoard.js";
+export * from "./engineLoadTracker.js";
 export * from "./engineSpeeds.js";
 export * from "./finalAnswer.js";
 export * from "./leastBusy.js";
--- a/packages/serving/src/leastBusy.ts
+++ b/packages/serving/src/leastBusy.ts
@@ -1,6 +1,6 @@
 import type * as directories from "./endpointDirectory.js";
 import type * as healths from "./endpointHealth.js";
-import type * as boards from "./engineBoard.js";
+import type * as boards from "./engineLoadTracker.js";
 
 /** Requests under way that an endpoint in another data centre has to be better by; bytes between them cost. */
 const OTHER_DATA_CENTRE_COST = 1;
--- a/packages/serving/src/placement.ts
+++ b/packages/serving/src/placement.ts
@@ -1,6 +1,6 @@
 import * as common from "@camphorcourse/common";
 import * as directories from "./endpointDirectory.js";
-import * as boards from "./engineBoard.js";
+import * as boards from "./engineLoadTracker.js";
 import type * as engineSpeeds from "./engineSpeeds.js";
 import * as promptParts from "./promptParts.js";
 import * as urgencies from "./urgency.js";
