--- a/packages/experiment/src/emulatedDaemon.ts
+++ b/packages/experiment/src/emulatedDaemon.ts
@@ -38,7 +38,7 @@
   readonly board = new serving.EngineLoadTracker();
   readonly speeds = new serving.EngineSpeeds();
   readonly demand = new serving.Demand();
-  readonly sizeShares = new serving.SizeShares();
+  readonly sizeShares = new serving.AcceptanceTracker();
   readonly #health = new serving.EndpointHealth();
   readonly #parts: DaemonParts;
   readonly #random: common.SeededRandom;
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -23,7 +23,7 @@
   /** What own requests' prompts ask of the engines. */
   readonly demand: serving.Demand;
   /** How often prompts are taken, by their size. */
-  readonly sizeShares: serving.SizeShares;
+  readonly sizeShares: serving.AcceptanceTracker;
   readonly client: endpointClients.EndpointClient;
   /** Tells which endpoints have ended, and under what. */
   readonly endDetector: endpointEndDetectors.EndpointEndDetector;
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -121,7 +121,7 @@
       health: new serving.EndpointHealth(),
       speeds: new serving.ServiceSpeeds(),
       demand: new serving.Demand(),
-      sizeShares: new serving.SizeShares(),
+      sizeShares: new serving.AcceptanceTracker(),
       client,
       endDetector,
       suspects,
--- a/packages/gateway/src/peerLink.ts
+++ b/packages/gateway/src/peerLink.ts
@@ -43,7 +43,7 @@
   readonly board: serving.EngineLoadTracker;
   readonly demand: serving.Demand;
   readonly speeds: serving.ServiceSpeeds;
-  readonly sizeShares: serving.SizeShares;
+  readonly sizeShares: serving.AcceptanceTracker;
   readonly suspects: serving.SuspectTable;
   readonly log: decisionLogs.DecisionLog;
   readonly ready: () => boolean;
--- a/packages/gateway/src/peerWork.ts
+++ b/packages/gateway/src/peerWork.ts
@@ -19,7 +19,7 @@
   readonly board: serving.EngineLoadTracker;
   readonly demand: serving.Demand;
   readonly speeds: serving.ServiceSpeeds;
-  readonly sizeShares: serving.SizeShares;
+  readonly sizeShares: serving.AcceptanceTracker;
 }
 
 /** The fields of a pulse that are about the engines' work. */
--- a/packages/gateway/tests/helpers/exchangeStand.ts
+++ b/packages/gateway/tests/helpers/exchangeStand.ts
@@ -195,7 +195,7 @@
       health: new serving.EndpointHealth(),
       speeds: new serving.ServiceSpeeds(),
       demand: new serving.Demand(),
-      sizeShares: new serving.SizeShares(),
+      sizeShares: new serving.AcceptanceTracker(),
       client: this.#client,
       endDetector: new endpointEndDetectors.EndpointEndDetector({
         log: new decisionLogs.DecisionLog("vm-1", "info", sink),
--- a/packages/gateway/tests/peerLink.test.ts
+++ b/packages/gateway/tests/peerLink.test.ts
@@ -67,7 +67,7 @@
     demand: new serving.Demand(),
     speeds: new serving.ServiceSpeeds(),
     suspects: new serving.SuspectTable({ isRefuted: () => false, onChange: () => undefined }),
-    sizeShares: new serving.SizeShares(),
+    sizeShares: new serving.AcceptanceTracker(),
     log: new decisionLogs.DecisionLog("vm-1", "fatal", { writableLength: 0, write: () => true }),
     ready: () => true,
     storeSilentMs: () => 0,
--- a/packages/serving/src/promptAdmission.ts
+++ b/packages/serving/src/promptAdmission.ts
@@ -24,7 +24,7 @@
   plan: placements.EnginePlan,
   placement: placements.PlacementInputs,
   limits: PromptLimits,
-  shares: sizeShares.SizeShares,
+  shares: sizeShares.AcceptanceTracker,
 ): neverthrow.Result<placements.EnginePlan, admissions.Rejection> {
   const { kind } = limits;
   const { now, prompt } = placement;
@@ -39,7 +39,7 @@
   plan: placements.EnginePlan,
   placement: placements.PlacementInputs,
   limits: PromptLimits,
-  shares: sizeShares.SizeShares,
+  shares: sizeShares.AcceptanceTracker,
 ): neverthrow.Result<placements.EnginePlan, admissions.Rejection> {
   const rejection = judge(plan, limits);
   if (rejection === undefined) return neverthrow.ok(plan);
--- a/packages/serving/src/sizeShares.ts
+++ b/packages/serving/src/sizeShares.ts
@@ -53,7 +53,7 @@
  * taken much less often than the whole kind. Daemons tell each other what they count: each alone sees a handful of the
  * largest, and would not notice.
  */
-export class SizeShares {
+export class AcceptanceTracker {
   readonly #counts = new Map<string, Count>();
   /** Counts from which those that have faded are dropped. */
   #dropFrom = MANY_COUNTS;
--- a/packages/serving/tests/promptAdmission.test.ts
+++ b/packages/serving/tests/promptAdmission.test.ts
@@ -50,7 +50,7 @@
 function admit(
   board: serving.EngineLoadTracker,
   tokens: number,
-  shares: serving.SizeShares,
+  shares: serving.AcceptanceTracker,
   limits = LIMITS,
 ): ReturnType<typeof serving.admitPrompt> {
   const inputs = placement(board, tokens);
@@ -70,7 +70,7 @@
 // was turned away, and no short one, whatever their part in the shortage.
 suite("long prompts are moved up once they are turned away much more often than their kind", () => {
   const board = busyBoard();
-  const shares = new serving.SizeShares();
+  const shares = new serving.AcceptanceTracker();
   const taken = Array.from({ length: ROUNDS }, () => {
     admit(board, SHORT_TOKENS, shares);
     return admit(board, LONG_TOKENS, shares);
@@ -84,7 +84,7 @@
 });
 
 suite("a fleet that keeps up moves nothing up", () => {
-  const shares = new serving.SizeShares();
+  const shares = new serving.AcceptanceTracker();
   for (let index = 0; index < 20; index++) {
     const admitted = admit(new serving.EngineLoadTracker(), LONG_TOKENS / 4, shares);
     assert.is(admitted._unsafeUnwrap().level, serving.urgencyOf(LONG_TOKENS / 4));
@@ -94,12 +94,12 @@
 suite("what no level brings in time is turned away", () => {
   const board = new serving.EngineLoadTracker();
   for (const id of ["p1", "d1"]) board.beginRead(id, QUEUE_TOKENS, 0);
-  const shares = new serving.SizeShares();
+  const shares = new serving.AcceptanceTracker();
   for (let index = 0; index < 20; index++) assert.ok(admit(board, LONG_TOKENS, shares).isErr());
 });
 
 suite("what was seen long ago counts for little", () => {
-  const shares = new serving.SizeShares();
+  const shares = new serving.AcceptanceTracker();
   for (let index = 0; index < 10; index++) {
     shares.noteOffered(KIND, LONG_TOKENS, 0);
     shares.noteOffered(KIND, SHORT_TOKENS, 0);
@@ -111,7 +111,7 @@
 
 // Each configuration may bring other kinds. Kept for ever, they would fill a daemon's memory in some days.
 suite("kinds that are gone are forgotten", () => {
-  const shares = new serving.SizeShares();
+  const shares = new serving.AcceptanceTracker();
   for (let index = 0; index < 50_000; index++) shares.noteOffered(`kind-${index}`, SHORT_TOKENS, index * 100);
   assert.ok(shares.countsKept < 4_000, `${shares.countsKept} are kept`);
 });
