--- a/packages/serving/src/index.ts
+++ b/packages/serving/src/index.ts
@@ -21,6 +21,6 @@
 export * from "./retryBudget.js";
 export * from "./roleBalance.js";
 export * from "./silence.js";
-export * from "./sizeShares.js";
+export * from "./acceptanceTracker.js";
 export * from "./suspectTable.js";
 export * from "./urgency.js";
--- a/packages/serving/src/promptAdmission.ts
+++ b/packages/serving/src/promptAdmission.ts
@@ -1,7 +1,7 @@
 import * as neverthrow from "neverthrow";
 import * as admissions from "./admission.js";
 import * as placements from "./placement.js";
-import type * as sizeShares from "./sizeShares.js";
+import type * as sizeShares from "./acceptanceTracker.js";
 
 /** What is known of the request whose prompt is to be read. */
 export interface PromptLimits extends Omit<admissions.AdmissionInputs, "predictedMs" | "aloneMs"> {
