--- a/packages/experiment/src/emulatedDaemon.ts
+++ b/packages/experiment/src/emulatedDaemon.ts
@@ -93,7 +93,7 @@
     }
     const limits = {
       kind: kind.name,
-      isLearned: this.speeds.isLearned((plan.reader ?? plan.decoder).role),
+      isLearned: this.speeds.isLearned((plan.reader ?? plan.decodeEngine).role),
       patienceMs: serving.streamPatienceMs(kind.objectiveMs, kind.pauseMs),
       remainingMs: course.remainingMs,
       routeMs: kind.deadlineMs,
@@ -120,7 +120,7 @@
   #read(request: loads.LoadRequest, plan: serving.EnginePlan, course: RequestCourse): void {
     const { time, description } = this.#parts;
     const { prompt } = request;
-    const endpoint = plan.reader ?? plan.decoder;
+    const endpoint = plan.reader ?? plan.decodeEngine;
     const engine = this.#engine(endpoint.id);
     const { memoryTokens } = description.engines;
     this.board.noteRead(endpoint.id, memoryTokens, prompt);
--- a/packages/gateway/src/sendChooser.ts
+++ b/packages/gateway/src/sendChooser.ts
@@ -151,7 +151,7 @@
       return neverthrow.err({ reason: "overloaded", returnAfterMs: admitted.error.returnAfterMs });
     }
     const plan = admitted.value;
-    const reader = plan.reader ?? plan.decoder;
+    const reader = plan.reader ?? plan.decodeEngine;
     this.#context.board.noteRead(reader.id, engine.memoryTokens, prompt);
     const stage = plan.reader === undefined ? Stage.Answering : Stage.Reading;
     return neverthrow.ok({ endpoint: reader, stage, predictedMs: plan.predictedMs, plan });
@@ -173,7 +173,7 @@
     if (sends > 0 || mayHaveRun) return neverthrow.ok(plan);
     const limits: serving.PromptLimits = {
       kind: route.name,
-      isLearned: speeds.of(this.#served.service).isLearned((plan.reader ?? plan.decoder).role),
+      isLearned: speeds.of(this.#served.service).isLearned((plan.reader ?? plan.decodeEngine).role),
       patienceMs: serving.streamPatienceMs(route.objectiveMs, route.pauseMs),
       remainingMs,
       routeMs: route.timeoutMs,
--- a/packages/serving/tests/placement.test.ts
+++ b/packages/serving/tests/placement.test.ts
@@ -55,7 +55,7 @@
   for (let index = 0; index < 120; index++) {
     const group = `dossier-${index % 12}`;
     const plan = place(board, prompt(group, `own-${index}`, 1_000));
-    const reader = (plan.reader ?? plan.decoder).id;
+    const reader = (plan.reader ?? plan.decodeEngine).id;
     board.noteRead(reader, MEMORY_TOKENS, prompt(group, `own-${index}`, 1_000));
     readers.set(group, (readers.get(group) ?? new Set()).add(reader));
     unread += plan.unreadTokens;
@@ -130,12 +130,12 @@
 suite("a dossier whose home has fallen behind is copied, not read again", () => {
   const board = new serving.EngineLoadTracker();
   const first = place(board, prompt("dossier", "first", 1_000));
-  const home = (first.reader ?? first.decoder).id;
+  const home = (first.reader ?? first.decodeEngine).id;
   board.noteRead(home, MEMORY_TOKENS, prompt("dossier", "first", 1_000), true);
   board.beginRead(home, 400_000, 0);
   const plan = place(board, prompt("dossier", "second", 1_000));
   assert.is(plan.copySource?.id, home);
-  assert.is.not((plan.reader ?? plan.decoder).id, home);
+  assert.is.not((plan.reader ?? plan.decodeEngine).id, home);
   assert.is(plan.unreadTokens, 1_000);
 });
 
@@ -144,7 +144,7 @@
 suite("a dossier that its home is still reading is not copied from there", () => {
   const board = new serving.EngineLoadTracker();
   const first = place(board, prompt("dossier", "first", 1_000));
-  const home = (first.reader ?? first.decoder).id;
+  const home = (first.reader ?? first.decodeEngine).id;
   board.noteRead(home, MEMORY_TOKENS, prompt("dossier", "first", 1_000));
   board.beginRead(home, 400_000, 0);
   assert.is(place(board, prompt("dossier", "second", 1_000)).copySource, undefined);
