--- a/packages/experiment/src/emulatedDaemon.ts
+++ b/packages/experiment/src/emulatedDaemon.ts
@@ -93,7 +93,7 @@
     }
     const limits = {
       kind: kind.name,
-      isLearned: this.speeds.isLearned((plan.reader ?? plan.decodeEngine).role),
+      isLearned: this.speeds.isLearned((plan.prefillEngine ?? plan.decodeEngine).role),
       patienceMs: serving.streamPatienceMs(kind.objectiveMs, kind.pauseMs),
       remainingMs: course.remainingMs,
       routeMs: kind.deadlineMs,
@@ -120,7 +120,7 @@
   #read(request: loads.LoadRequest, plan: serving.EnginePlan, course: RequestCourse): void {
     const { time, description } = this.#parts;
     const { prompt } = request;
-    const endpoint = plan.reader ?? plan.decodeEngine;
+    const endpoint = plan.prefillEngine ?? plan.decodeEngine;
     const engine = this.#engine(endpoint.id);
     const { memoryTokens } = description.engines;
     this.board.noteRead(endpoint.id, memoryTokens, prompt);
@@ -136,7 +136,7 @@
       this.board.noteRead(endpoint.id, memoryTokens, prompt, true);
       this.#learnRead(plan, endpoint, prompt, time.now - sentAt);
       if (course.over) return;
-      if (plan.reader === undefined) this.#stream(engine, request, course);
+      if (plan.prefillEngine === undefined) this.#stream(engine, request, course);
       else this.#handOver(request, course);
     };
     const copySource = plan.copySource === undefined ? undefined : this.#engine(plan.copySource.id);
--- a/packages/gateway/src/sendChooser.ts
+++ b/packages/gateway/src/sendChooser.ts
@@ -151,9 +151,9 @@
       return neverthrow.err({ reason: "overloaded", returnAfterMs: admitted.error.returnAfterMs });
     }
     const plan = admitted.value;
-    const reader = plan.reader ?? plan.decodeEngine;
+    const reader = plan.prefillEngine ?? plan.decodeEngine;
     this.#context.board.noteRead(reader.id, engine.memoryTokens, prompt);
-    const stage = plan.reader === undefined ? Stage.Answering : Stage.Reading;
+    const stage = plan.prefillEngine === undefined ? Stage.Answering : Stage.Reading;
     return neverthrow.ok({ endpoint: reader, stage, predictedMs: plan.predictedMs, plan });
   }
 
@@ -173,7 +173,7 @@
     if (sends > 0 || mayHaveRun) return neverthrow.ok(plan);
     const limits: serving.PromptLimits = {
       kind: route.name,
-      isLearned: speeds.of(this.#served.service).isLearned((plan.reader ?? plan.decodeEngine).role),
+      isLearned: speeds.of(this.#served.service).isLearned((plan.prefillEngine ?? plan.decodeEngine).role),
       patienceMs: serving.streamPatienceMs(route.objectiveMs, route.pauseMs),
       remainingMs,
       routeMs: route.timeoutMs,
--- a/packages/serving/src/placement.ts
+++ b/packages/serving/src/placement.ts
@@ -10,7 +10,7 @@
   /** Engine that makes the tokens; where another reads the prompt, as things stand now. */
   readonly decodeEngine: directories.Endpoint;
   /** Engine that reads the prompt first, or undefined where the decoder reads it. */
-  readonly reader: directories.Endpoint | undefined;
+  readonly prefillEngine: directories.Endpoint | undefined;
   /** Engine from which the one that reads copies the shared parts that it doesn't keep, if that is faster. */
   readonly copySource: directories.Endpoint | undefined;
   /** Tokens that have to be read. */
@@ -69,10 +69,10 @@
   const handoverMs = inputs.speeds.handoverMs(inputs.prompt.promptTokens);
   const apartMs = apart === undefined ? Number.POSITIVE_INFINITY : apart.predictedMs + handoverMs + slotMs;
   if (apart === undefined || directMs <= apartMs) {
-    return { ...direct, decodeEngine: direct.engine, reader: undefined, predictedMs: direct.predictedMs };
+    return { ...direct, decodeEngine: direct.engine, prefillEngine: undefined, predictedMs: direct.predictedMs };
   }
   const aloneMs = apart.aloneMs + handoverMs;
-  return { ...apart, decodeEngine: target, reader: apart.engine, predictedMs: apartMs, aloneMs };
+  return { ...apart, decodeEngine: target, prefillEngine: apart.engine, predictedMs: apartMs, aloneMs };
 }
 
 /**
@@ -228,7 +228,7 @@
  * @returns the same plan with that level
  */
 export function atLevel(plan: EnginePlan, inputs: PlacementInputs, level: number): EnginePlan {
-  const engine = plan.reader ?? plan.decodeEngine;
+  const engine = plan.prefillEngine ?? plan.decodeEngine;
   const savedMs = queueMs(inputs, engine, plan.level) - queueMs(inputs, engine, level);
   const tokensAhead = inputs.board.tokensAhead(engine.id, level, inputs.now);
   return { ...plan, level, tokensAhead, predictedMs: plan.predictedMs - savedMs };
--- a/packages/serving/tests/placement.test.ts
+++ b/packages/serving/tests/placement.test.ts
@@ -55,7 +55,7 @@
   for (let index = 0; index < 120; index++) {
     const group = `dossier-${index % 12}`;
     const plan = place(board, prompt(group, `own-${index}`, 1_000));
-    const reader = (plan.reader ?? plan.decodeEngine).id;
+    const reader = (plan.prefillEngine ?? plan.decodeEngine).id;
     board.noteRead(reader, MEMORY_TOKENS, prompt(group, `own-${index}`, 1_000));
     readers.set(group, (readers.get(group) ?? new Set()).add(reader));
     unread += plan.unreadTokens;
@@ -72,9 +72,9 @@
   for (const { id } of FLEET) board.noteRead(id, MEMORY_TOKENS, prompt("g", "before", 10));
   for (const id of ["p1", "p2"]) board.beginRead(id, 4_000, 0);
   const own = prompt("g", "own", 800);
-  assert.is(place(board, own).reader, undefined);
+  assert.is(place(board, own).prefillEngine, undefined);
   for (const id of ["d1", "d2"]) for (let stream = 0; stream < 40; stream++) board.beginRun(id);
-  assert.is(place(board, own).reader?.role, serving.EngineRole.Prefill);
+  assert.is(place(board, own).prefillEngine?.role, serving.EngineRole.Prefill);
 });
 
 // The load: prompts of some thousand tokens beside streams whose callers bear short pauses only. An event waits for all
@@ -84,15 +84,15 @@
   for (const { id } of FLEET) board.noteRead(id, MEMORY_TOKENS, prompt("g", "before", 10));
   for (const id of ["p1", "p2"]) board.beginRead(id, 8_000, 0);
   for (const id of ["d1", "d2"]) for (let stream = 0; stream < 4; stream++) board.beginRun(id);
-  assert.is(place(board, prompt("g", "own", 300)).reader, undefined);
+  assert.is(place(board, prompt("g", "own", 300)).prefillEngine, undefined);
   const long = prompt("g", "own", 3_000);
-  assert.is(place(board, long).reader, undefined);
-  assert.is(place(board, long, FLEET, 100).reader?.role, serving.EngineRole.Prefill);
+  assert.is(place(board, long).prefillEngine, undefined);
+  assert.is(place(board, long, FLEET, 100).prefillEngine?.role, serving.EngineRole.Prefill);
 });
 
 suite("a prompt is read where its tokens are made if no engine reads apart", () => {
   const plan = place(new serving.EngineLoadTracker(), prompt("g", "own", 1_000), FLEET.slice(2));
-  assert.is(plan.reader, undefined);
+  assert.is(plan.prefillEngine, undefined);
 });
 
 suite("no plan without an engine that makes tokens", () => {
@@ -130,12 +130,12 @@
 suite("a dossier whose home has fallen behind is copied, not read again", () => {
   const board = new serving.EngineLoadTracker();
   const first = place(board, prompt("dossier", "first", 1_000));
-  const home = (first.reader ?? first.decodeEngine).id;
+  const home = (first.prefillEngine ?? first.decodeEngine).id;
   board.noteRead(home, MEMORY_TOKENS, prompt("dossier", "first", 1_000), true);
   board.beginRead(home, 400_000, 0);
   const plan = place(board, prompt("dossier", "second", 1_000));
   assert.is(plan.copySource?.id, home);
-  assert.is.not((plan.reader ?? plan.decodeEngine).id, home);
+  assert.is.not((plan.prefillEngine ?? plan.decodeEngine).id, home);
   assert.is(plan.unreadTokens, 1_000);
 });
 
@@ -144,7 +144,7 @@
 suite("a dossier that its home is still reading is not copied from there", () => {
   const board = new serving.EngineLoadTracker();
   const first = place(board, prompt("dossier", "first", 1_000));
-  const home = (first.reader ?? first.decodeEngine).id;
+  const home = (first.prefillEngine ?? first.decodeEngine).id;
   board.noteRead(home, MEMORY_TOKENS, prompt("dossier", "first", 1_000));
   board.beginRead(home, 400_000, 0);
   assert.is(place(board, prompt("dossier", "second", 1_000)).copySource, undefined);
