--- a/packages/experiment/src/emulatedDaemon.ts
+++ b/packages/experiment/src/emulatedDaemon.ts
@@ -124,7 +124,7 @@
     const engine = this.#engine(endpoint.id);
     const { memoryTokens } = description.engines;
     this.board.noteRead(endpoint.id, memoryTokens, prompt);
-    const pending = this.board.beginRead(endpoint.id, plan.workTokens, plan.level);
+    const pending = this.board.beginRead(endpoint.id, plan.workTokens, plan.urgency);
     this.board.beginRun(endpoint.id);
     const sentAt = time.now;
     const finish = (): void => {
@@ -140,7 +140,7 @@
       else this.#handOver(request, course);
     };
     const copySource = plan.copySource === undefined ? undefined : this.#engine(plan.copySource.id);
-    const job = { prompt, urgency: plan.level, copySource, onRead };
+    const job = { prompt, urgency: plan.urgency, copySource, onRead };
     course.onLeft = () => {
       if (engine.cancel(job)) finish();
     };
--- a/packages/gateway/src/endpointLessons.ts
+++ b/packages/gateway/src/endpointLessons.ts
@@ -47,7 +47,7 @@
       ahead: active.plan?.tokensAhead,
       waiting: active.plan?.tokensWaiting,
       prompt: this.#served.caller.headers.prompt?.promptTokens,
-      urgency: active.plan?.level,
+      urgency: active.plan?.urgency,
       running: this.#context.board.running(active.endpoint.id, now),
       predictedMs: Math.round(active.predictedMs),
       leftAfterMs: active.departure.leftAfterMs,
--- a/packages/gateway/src/sendChooser.ts
+++ b/packages/gateway/src/sendChooser.ts
@@ -181,7 +181,7 @@
     };
     const admitted = serving.admitPrompt(plan, placement, limits, sizeShares);
     if (admitted.isErr()) this.#logTurnedAway(plan, limits, admitted.error);
-    else if (admitted.value.level !== plan.level) this.#logMovedUp(plan, admitted.value);
+    else if (admitted.value.urgency !== plan.urgency) this.#logMovedUp(plan, admitted.value);
     return admitted;
   }
 
@@ -206,8 +206,8 @@
     this.#context.log.info("moved-up", {
       id: this.#served.id,
       unread: from.unreadTokens,
-      urgency: from.level,
-      toUrgency: to.level,
+      urgency: from.urgency,
+      toUrgency: to.urgency,
       predictedMs: Math.round(from.predictedMs),
       thenMs: Math.round(to.predictedMs),
     });
--- a/packages/gateway/src/sendCourse.ts
+++ b/packages/gateway/src/sendCourse.ts
@@ -163,7 +163,7 @@
     this.#active = active;
     served.noteTry(planned.endpoint.id);
     if (planned.stage === sendChoosers.Stage.Answering) served.countSend();
-    const urgency = planned.plan?.level ?? (this.#parts.memory.handedOver === undefined ? undefined : 0);
+    const urgency = planned.plan?.urgency ?? (this.#parts.memory.handedOver === undefined ? undefined : 0);
     const message = this.#message(planned, remainingMs, urgency);
     context.log.info("send", {
       id: served.id,
--- a/packages/serving/src/placement.ts
+++ b/packages/serving/src/placement.ts
@@ -17,7 +17,7 @@
   readonly unreadTokens: number;
   /** The reading's work, attention included, as tokens of a short prompt. */
   readonly workTokens: number;
-  readonly level: number;
+  readonly urgency: number;
   /** Tokens that the engine has to read before. */
   readonly tokensAhead: number;
   /** Tokens that it has to read at all, less urgent ones included. */
@@ -102,7 +102,7 @@
   readonly copySource: directories.Endpoint | undefined;
   readonly unreadTokens: number;
   readonly workTokens: number;
-  readonly level: number;
+  readonly urgency: number;
   readonly tokensAhead: number;
   readonly tokensWaiting: number;
   readonly predictedMs: number;
@@ -211,7 +211,17 @@
   const ownMs = speeds.fixedMs(engine.role, running) + copyMs + speeds.readMs(engine.role, workTokens);
   const aloneMs = ownMs * slowness + wayMs(inputs, engine);
   const predictedMs = aloneMs + queueMs(inputs, engine, level) + slotWaitMs(engine, running);
-  return { engine, copySource, unreadTokens, workTokens, level, tokensAhead, tokensWaiting, predictedMs, aloneMs };
+  return {
+    engine,
+    copySource,
+    unreadTokens,
+    workTokens,
+    urgency: level,
+    tokensAhead,
+    tokensWaiting,
+    predictedMs,
+    aloneMs,
+  };
 }
 
 /** Time until an engine begins with a prompt of that level, in milliseconds. */
@@ -229,9 +239,9 @@
  */
 export function atLevel(plan: EnginePlan, inputs: PlacementInputs, level: number): EnginePlan {
   const engine = plan.prefillEngine ?? plan.decodeEngine;
-  const savedMs = queueMs(inputs, engine, plan.level) - queueMs(inputs, engine, level);
+  const savedMs = queueMs(inputs, engine, plan.urgency) - queueMs(inputs, engine, level);
   const tokensAhead = inputs.board.tokensAhead(engine.id, level, inputs.now);
-  return { ...plan, level, tokensAhead, predictedMs: plan.predictedMs - savedMs };
+  return { ...plan, urgency: level, tokensAhead, predictedMs: plan.predictedMs - savedMs };
 }
 
 function wayMs(inputs: PlacementInputs, engine: directories.Endpoint): number {
--- a/packages/serving/src/promptAdmission.ts
+++ b/packages/serving/src/promptAdmission.ts
@@ -54,7 +54,7 @@
   placement: placements.PlacementInputs,
   limits: PromptLimits,
 ): placements.EnginePlan | undefined {
-  for (let level = plan.level - 1; level >= 0; level--) {
+  for (let level = plan.urgency - 1; level >= 0; level--) {
     const moved = placements.atLevel(plan, placement, level);
     if (judge(moved, limits) === undefined) return moved;
   }
--- a/packages/serving/tests/promptAdmission.test.ts
+++ b/packages/serving/tests/promptAdmission.test.ts
@@ -75,7 +75,7 @@
     admit(board, SHORT_TOKENS, shares);
     return admit(board, LONG_TOKENS, shares);
   });
-  const levels = taken.flatMap((result) => (result.isOk() ? [result.value.level] : []));
+  const levels = taken.flatMap((result) => (result.isOk() ? [result.value.urgency] : []));
   // Users ask that a size is served half as often as its kind at least.
   const ofLong = levels.length / ROUNDS;
   const ofAll = (1 + ofLong) / 2;
@@ -87,7 +87,7 @@
   const shares = new serving.AcceptanceTracker();
   for (let index = 0; index < 20; index++) {
     const admitted = admit(new serving.EngineLoadTracker(), LONG_TOKENS / 4, shares);
-    assert.is(admitted._unsafeUnwrap().level, serving.urgencyOf(LONG_TOKENS / 4));
+    assert.is(admitted._unsafeUnwrap().urgency, serving.urgencyOf(LONG_TOKENS / 4));
   }
 });
 
