--- a/packages/gateway/src/sendChooser.ts
+++ b/packages/gateway/src/sendChooser.ts
@@ -191,7 +191,7 @@
     this.#context.log.info("turned-away", {
       id: this.#served.id,
       predictedMs: Math.round(plan.predictedMs),
-      aloneMs: Math.round(plan.aloneMs),
+      aloneMs: Math.round(plan.unloadedMs),
       isLearned: limits.isLearned,
       remainingMs: Math.round(limits.remainingMs),
       unread: plan.unreadTokens,
--- a/packages/serving/src/admission.ts
+++ b/packages/serving/src/admission.ts
@@ -5,7 +5,7 @@
   /** Predicted time to the first event. */
   readonly predictedMs: number;
   /** The part of it that it would take if nothing else were under way. */
-  readonly aloneMs: number;
+  readonly unloadedMs: number;
   /** Whether the prediction rests on prompts that were read, and not on priors that may be wrong by ten. */
   readonly isLearned: boolean;
   /** Time after which the caller gives a stream up that has not begun. */
@@ -78,7 +78,7 @@
     const unsureMs = Math.min(inputs.patienceMs * UNSURE_MULTIPLE, inputs.remainingMs);
     return inputs.predictedMs <= unsureMs ? undefined : rejectionOf(inputs);
   }
-  const longMs = inputs.aloneMs + inputs.patienceMs * LONG_WAIT_PART;
+  const longMs = inputs.unloadedMs + inputs.patienceMs * LONG_WAIT_PART;
   const usualMs = inputs.patienceMs * (hasComeBack(inputs) ? RETURNED_PART : PATIENCE_PART);
   const limitMs = Math.min(Math.max(usualMs, longMs), inputs.patienceMs, inputs.remainingMs);
   return inputs.predictedMs <= limitMs ? undefined : rejectionOf(inputs);
--- a/packages/serving/src/placement.ts
+++ b/packages/serving/src/placement.ts
@@ -25,7 +25,7 @@
   /** Predicted time to the first event, in milliseconds. */
   readonly predictedMs: number;
   /** The part of it that it would take if nothing else were under way, in milliseconds. */
-  readonly aloneMs: number;
+  readonly unloadedMs: number;
 }
 
 /** What the choice rests on. */
@@ -71,8 +71,8 @@
   if (apart === undefined || directMs <= apartMs) {
     return { ...direct, decodeEngine: direct.engine, prefillEngine: undefined, predictedMs: direct.predictedMs };
   }
-  const aloneMs = apart.aloneMs + handoverMs;
-  return { ...apart, decodeEngine: target, prefillEngine: apart.engine, predictedMs: apartMs, aloneMs };
+  const aloneMs = apart.unloadedMs + handoverMs;
+  return { ...apart, decodeEngine: target, prefillEngine: apart.engine, predictedMs: apartMs, unloadedMs: aloneMs };
 }
 
 /**
@@ -106,7 +106,7 @@
   readonly tokensAhead: number;
   readonly tokensWaiting: number;
   readonly predictedMs: number;
-  readonly aloneMs: number;
+  readonly unloadedMs: number;
 }
 
 function best(
@@ -220,7 +220,7 @@
     tokensAhead,
     tokensWaiting,
     predictedMs,
-    aloneMs,
+    unloadedMs: aloneMs,
   };
 }
 
--- a/packages/serving/src/promptAdmission.ts
+++ b/packages/serving/src/promptAdmission.ts
@@ -62,5 +62,5 @@
 }
 
 function judge(plan: placements.EnginePlan, limits: PromptLimits): admissions.Rejection | undefined {
-  return admissions.judgeAdmission({ ...limits, predictedMs: plan.predictedMs, aloneMs: plan.aloneMs });
+  return admissions.judgeAdmission({ ...limits, predictedMs: plan.predictedMs, unloadedMs: plan.unloadedMs });
 }
--- a/packages/serving/tests/admission.test.ts
+++ b/packages/serving/tests/admission.test.ts
@@ -11,7 +11,7 @@
   const patienceMs = 2_400;
   const hopeless = serving.judgeAdmission({
     predictedMs: 7_000,
-    aloneMs: 200,
+    unloadedMs: 200,
     isLearned: true,
     patienceMs,
     remainingMs: 10_000,
@@ -20,7 +20,7 @@
   });
   const tooLate = serving.judgeAdmission({
     predictedMs: 1_000,
-    aloneMs: 200,
+    unloadedMs: 200,
     isLearned: true,
     patienceMs,
     remainingMs: 900,
@@ -69,8 +69,10 @@
 // turned away by an idle fleet.
 suite("a long prompt with little before it is taken, unless its caller would have left", () => {
   const inputs = { patienceMs: 2_000, remainingMs: 8_000, routeMs: 8_000, draw: 0 };
-  assert.is(serving.judgeAdmission({ ...inputs, predictedMs: 1_700, aloneMs: 1_600, isLearned: true }), undefined);
-  assert.ok(serving.judgeAdmission({ ...inputs, predictedMs: 2_100, aloneMs: 2_050, isLearned: true }) !== undefined);
+  assert.is(serving.judgeAdmission({ ...inputs, predictedMs: 1_700, unloadedMs: 1_600, isLearned: true }), undefined);
+  assert.ok(
+    serving.judgeAdmission({ ...inputs, predictedMs: 2_100, unloadedMs: 2_050, isLearned: true }) !== undefined,
+  );
 });
 
 // A caller that was turned away has come back when it was told to, with less time left. Sent away again it gets nothing.
