--- a/packages/experiment/src/emulatedDaemon.ts
+++ b/packages/experiment/src/emulatedDaemon.ts
@@ -198,7 +198,7 @@
       speeds: this.speeds,
       slowness: (id) => this.#health.slowness(id),
       dataCentre: "a",
-      pauseAimMs: description.pausesIgnored === true ? Number.POSITIVE_INFINITY : kind.pauseMs,
+      maxPauseMs: description.pausesIgnored === true ? Number.POSITIVE_INFINITY : kind.pauseMs,
       now: time.now,
     };
   }
--- a/packages/gateway/src/sendChooser.ts
+++ b/packages/gateway/src/sendChooser.ts
@@ -131,7 +131,7 @@
       speeds: speeds.of(definition.name),
       slowness: (id) => health.slowness(id),
       dataCentre: settings.dataCentre,
-      pauseAimMs: this.#served.route.pauseMs,
+      maxPauseMs: this.#served.route.pauseMs,
       now: performance.now(),
     };
   }
--- a/packages/serving/src/placement.ts
+++ b/packages/serving/src/placement.ts
@@ -40,7 +40,7 @@
   readonly slowness: (endpointId: string) => number;
   readonly dataCentre: string;
   /** Longest pause between two events with which a stream is in time, in milliseconds. */
-  readonly pauseAimMs: number;
+  readonly maxPauseMs: number;
   readonly now: number;
 }
 
@@ -86,7 +86,7 @@
 const LATE_STREAM_MS = 100;
 
 function strainMs(inputs: PlacementInputs, direct: Candidate): number {
-  const { board, now, pauseAimMs, speeds } = inputs;
+  const { board, now, maxPauseMs: pauseAimMs, speeds } = inputs;
   const { id, role } = direct.engine;
   const streams = board.running(id, now);
   const readMs = speeds.readMs(role, direct.workTokens);
--- a/packages/serving/tests/placement.test.ts
+++ b/packages/serving/tests/placement.test.ts
@@ -39,7 +39,7 @@
     speeds: new serving.EngineSpeeds(),
     slowness: () => 1,
     dataCentre: "a",
-    pauseAimMs,
+    maxPauseMs: pauseAimMs,
     now: 0,
   });
   if (plan === undefined) throw new Error("no plan");
--- a/packages/serving/tests/promptAdmission.test.ts
+++ b/packages/serving/tests/promptAdmission.test.ts
@@ -42,7 +42,7 @@
     speeds: new serving.EngineSpeeds(),
     slowness: () => 1,
     dataCentre: "a",
-    pauseAimMs: 300,
+    maxPauseMs: 300,
     now: 0,
   };
 }
