--- a/packages/experiment/src/emulatedDaemon.ts
+++ b/packages/experiment/src/emulatedDaemon.ts
@@ -193,7 +193,7 @@
     return {
       prompt,
       engines: this.#ownEngines(fleet.endpoints()),
-      board: this.board,
+      loads: this.board,
       memoryTokens: description.engines.memoryTokens,
       speeds: this.speeds,
       slowness: (id) => this.#health.slowness(id),
--- a/packages/gateway/src/sendChooser.ts
+++ b/packages/gateway/src/sendChooser.ts
@@ -95,7 +95,7 @@
     const { board, health, random, settings } = this.#context;
     const endpoint = serving.leastBusy({
       endpoints: this.#candidates(definition),
-      board,
+      loads: board,
       health,
       dataCentre: settings.dataCentre,
       draw: () => random.next(),
@@ -126,7 +126,7 @@
     return {
       prompt,
       engines,
-      board,
+      loads: board,
       memoryTokens: engine.memoryTokens,
       speeds: speeds.of(definition.name),
       slowness: (id) => health.slowness(id),
--- a/packages/serving/src/leastBusy.ts
+++ b/packages/serving/src/leastBusy.ts
@@ -11,7 +11,7 @@
 /** What the choice rests on. */
 export interface PlainChoiceInputs {
   readonly endpoints: readonly directories.Endpoint[];
-  readonly board: boards.EngineLoadTracker;
+  readonly loads: boards.EngineLoadTracker;
   readonly health: healths.EndpointHealth;
   readonly dataCentre: string;
   /** @returns a uniform number in [0, 1) */
@@ -24,7 +24,7 @@
  * @returns the one with the fewest requests under way, for its speed, or undefined if there is none
  */
 export function leastBusy(inputs: PlainChoiceInputs): directories.Endpoint | undefined {
-  const { board, health, now } = inputs;
+  const { loads: board, health, now } = inputs;
   let chosen: directories.Endpoint | undefined;
   let chosenCost = Number.POSITIVE_INFINITY;
   for (const endpoint of inputs.endpoints) {
--- a/packages/serving/src/placement.ts
+++ b/packages/serving/src/placement.ts
@@ -32,7 +32,7 @@
 export interface PlacementInputs {
   readonly prompt: promptParts.Prompt;
   readonly engines: readonly directories.Endpoint[];
-  readonly board: boards.EngineLoadTracker;
+  readonly loads: boards.EngineLoadTracker;
   readonly memoryTokens: number;
   /** What is known of the speed of the service's engines. */
   readonly speeds: engineSpeeds.EngineSpeeds;
@@ -65,7 +65,7 @@
   const target = placeDecoder(inputs, apart?.engine);
   if (direct === undefined || target === undefined) return undefined;
   const directMs = direct.predictedMs + strainMs(inputs, direct);
-  const slotMs = slotWaitMs(target, inputs.board.running(target.id, inputs.now));
+  const slotMs = slotWaitMs(target, inputs.loads.running(target.id, inputs.now));
   const handoverMs = inputs.speeds.handoverMs(inputs.prompt.promptTokens);
   const apartMs = apart === undefined ? Number.POSITIVE_INFINITY : apart.predictedMs + handoverMs + slotMs;
   if (apart === undefined || directMs <= apartMs) {
@@ -86,7 +86,7 @@
 const LATE_STREAM_MS = 100;
 
 function strainMs(inputs: PlacementInputs, direct: Candidate): number {
-  const { board, now, maxPauseMs: pauseAimMs, speeds } = inputs;
+  const { loads: board, now, maxPauseMs: pauseAimMs, speeds } = inputs;
   const { id, role } = direct.engine;
   const streams = board.running(id, now);
   const readMs = speeds.readMs(role, direct.workTokens);
@@ -156,7 +156,7 @@
 
 /** The engines that keep most of the prompt: the first in each data centre. */
 function copySources(inputs: PlacementInputs): CopySource[] {
-  const { board, memoryTokens, prompt } = inputs;
+  const { loads: board, memoryTokens, prompt } = inputs;
   const best = new Map<string, CopySource>();
   for (const engine of inputs.engines) {
     const tokens = board.cache(engine.id, memoryTokens).copyableTokens(prompt);
@@ -182,7 +182,7 @@
   sources: readonly CopySource[],
 ): Candidate[] {
   const { prompt, speeds } = inputs;
-  const cached = inputs.board.cache(engine.id, inputs.memoryTokens).cachedTokens(prompt);
+  const cached = inputs.loads.cache(engine.id, inputs.memoryTokens).cachedTokens(prompt);
   const candidates = [candidateAt(inputs, engine, cached, undefined, 0)];
   for (const source of sources) {
     const copied = Math.min(source.tokens, prompt.promptTokens - 1) - cached;
@@ -200,7 +200,7 @@
   copySource: directories.Endpoint | undefined,
   copyMs: number,
 ): Candidate {
-  const { board, now, prompt, speeds } = inputs;
+  const { loads: board, now, prompt, speeds } = inputs;
   const unreadTokens = Math.max(1, prompt.promptTokens - cachedTokens);
   const level = urgencies.urgencyOf(unreadTokens);
   const tokensAhead = board.tokensAhead(engine.id, level, now);
@@ -226,7 +226,7 @@
 
 /** Time until an engine begins with a prompt of that level, in milliseconds. */
 function queueMs(inputs: PlacementInputs, engine: directories.Endpoint, level: number): number {
-  const { board, now, speeds } = inputs;
+  const { loads: board, now, speeds } = inputs;
   const tokens = board.tokensAhead(engine.id, level, now) + board.tokensBegun(engine.id, level, now);
   return speeds.readMs(engine.role, tokens) * inputs.slowness(engine.id);
 }
@@ -240,7 +240,7 @@
 export function atLevel(plan: EnginePlan, inputs: PlacementInputs, level: number): EnginePlan {
   const engine = plan.prefillEngine ?? plan.decodeEngine;
   const savedMs = queueMs(inputs, engine, plan.urgency) - queueMs(inputs, engine, level);
-  const tokensAhead = inputs.board.tokensAhead(engine.id, level, inputs.now);
+  const tokensAhead = inputs.loads.tokensAhead(engine.id, level, inputs.now);
   return { ...plan, urgency: level, tokensAhead, predictedMs: plan.predictedMs - savedMs };
 }
 
@@ -267,9 +267,9 @@
   let chosen: directories.Endpoint | undefined;
   let chosenCost = Number.POSITIVE_INFINITY;
   for (const engine of decoders) {
-    const running = inputs.board.running(engine.id, inputs.now);
+    const running = inputs.loads.running(engine.id, inputs.now);
     const fullMs = ((1 + running) / engine.slots) * FULL_ENGINE_MS + slotWaitMs(engine, running);
-    const aheadTokens = inputs.board.tokensAhead(engine.id, urgencies.LEAST_URGENT, inputs.now);
+    const aheadTokens = inputs.loads.tokensAhead(engine.id, urgencies.LEAST_URGENT, inputs.now);
     const aheadMs = inputs.speeds.readMs(engine.role, aheadTokens);
     const homeMs = engine.id === home ? 0 : DECODER_HOME_MS;
     // Waiting prompts slow the tokens of the streams beside them, though not the start of one whose prompt is read.
--- a/packages/serving/tests/placement.test.ts
+++ b/packages/serving/tests/placement.test.ts
@@ -34,7 +34,7 @@
   const plan = serving.placePrompt({
     prompt: of,
     engines,
-    board,
+    loads: board,
     memoryTokens: MEMORY_TOKENS,
     speeds: new serving.EngineSpeeds(),
     slowness: () => 1,
--- a/packages/serving/tests/promptAdmission.test.ts
+++ b/packages/serving/tests/promptAdmission.test.ts
@@ -37,7 +37,7 @@
   return {
     prompt: { model: "m", parts: [{ id: `own-${tokens}`, tokens }], promptTokens: tokens, outputTokens: 10 },
     engines: [ENGINE, { ...ENGINE, id: "d1", role: serving.EngineRole.Decode }],
-    board,
+    loads: board,
     memoryTokens: 500_000,
     speeds: new serving.EngineSpeeds(),
     slowness: () => 1,
