--- a/packages/serving/src/placement.ts
+++ b/packages/serving/src/placement.ts
@@ -237,7 +237,7 @@
  * @param level - another urgency level
  * @returns the same plan with that level
  */
-export function atLevel(plan: EnginePlan, inputs: PlacementInputs, level: number): EnginePlan {
+export function withUrgency(plan: EnginePlan, inputs: PlacementInputs, level: number): EnginePlan {
   const engine = plan.prefillEngine ?? plan.decodeEngine;
   const savedMs = queueMs(inputs, engine, plan.urgency) - queueMs(inputs, engine, level);
   const tokensAhead = inputs.loads.tokensAhead(engine.id, level, inputs.now);
--- a/packages/serving/src/promptAdmission.ts
+++ b/packages/serving/src/promptAdmission.ts
@@ -55,7 +55,7 @@
   limits: PromptLimits,
 ): placements.EnginePlan | undefined {
   for (let level = plan.urgency - 1; level >= 0; level--) {
-    const moved = placements.atLevel(plan, placement, level);
+    const moved = placements.withUrgency(plan, placement, level);
     if (judge(moved, limits) === undefined) return moved;
   }
   return undefined;
