--- a/packages/experiment/src/emulatedDaemon.ts
+++ b/packages/experiment/src/emulatedDaemon.ts
@@ -149,7 +149,7 @@
 
   #handOver(request: loads.LoadRequest, course: RequestCourse): void {
     const { time } = this.#parts;
-    const decoder = serving.placeDecoder(this.#inputs(request), undefined);
+    const decoder = serving.chooseDecodeEngine(this.#inputs(request), undefined);
     if (decoder === undefined) {
       course.end(outcomes.Ending.Refused);
       return;
--- a/packages/gateway/src/sendChooser.ts
+++ b/packages/gateway/src/sendChooser.ts
@@ -113,7 +113,7 @@
     const engines = this.#candidates(definition);
     if (promptReader === undefined) return this.#placeOn(engines, definition, engine, prompt);
     const inputs = this.#placementInputs(engines, definition, engine, prompt);
-    return answeringAt(serving.placeDecoder(inputs, promptReader), "no-engine");
+    return answeringAt(serving.chooseDecodeEngine(inputs, promptReader), "no-engine");
   }
 
   #placementInputs(
--- a/packages/serving/src/placement.ts
+++ b/packages/serving/src/placement.ts
@@ -62,7 +62,7 @@
   const sources = copySources(inputs);
   const direct = best(inputs, decoders, sources);
   const apart = best(inputs, readers, sources);
-  const target = placeDecoder(inputs, apart?.engine);
+  const target = chooseDecodeEngine(inputs, apart?.engine);
   if (direct === undefined || target === undefined) return undefined;
   const directMs = direct.predictedMs + strainMs(inputs, direct);
   const slotMs = slotWaitMs(target, inputs.loads.running(target.id, inputs.now));
@@ -257,7 +257,7 @@
  * @param reader - the engine that reads the prompt, if one is known
  * @returns the engine, or undefined if none can make tokens
  */
-export function placeDecoder(
+export function chooseDecodeEngine(
   inputs: PlacementInputs,
   reader: directories.Endpoint | undefined,
 ): directories.Endpoint | undefined {
