--- a/packages/gateway/src/activeSend.ts
+++ b/packages/gateway/src/activeSend.ts
@@ -24,7 +24,7 @@
   readonly sentAt: number;
   readonly #context: contexts.ServingContext;
   readonly #silence: silenceWatches.SilenceWatch;
-  #read: serving.PendingRead | undefined;
+  #read: serving.PendingPrefill | undefined;
   #sending: sendings.Sending | undefined;
   #begun = false;
 
--- a/packages/serving/src/engineLoadTracker.ts
+++ b/packages/serving/src/engineLoadTracker.ts
@@ -10,7 +10,7 @@
 }
 
 /** A read that is under way at an engine; it ends with the first event or the handle. */
-export interface PendingRead {
+export interface PendingPrefill {
   readonly endpointId: string;
   readonly level: number;
   readonly tokens: number;
@@ -78,14 +78,14 @@
    * @param level - urgency of the request
    * @returns the read, to be ended with {@link endRead}
    */
-  beginRead(endpointId: string, tokens: number, level: number): PendingRead {
+  beginRead(endpointId: string, tokens: number, level: number): PendingPrefill {
     const state = this.#state(endpointId);
     state.unread[level] = (state.unread[level] ?? 0) + tokens;
     return { endpointId, level, tokens, done: false };
   }
 
   /** @param read - a read that has ended; ending it twice has no effect */
-  endRead(read: PendingRead): void {
+  endRead(read: PendingPrefill): void {
     if (read.done) return;
     read.done = true;
     const state = this.#state(read.endpointId);
