--- a/packages/experiment/src/emulatedDaemon.ts
+++ b/packages/experiment/src/emulatedDaemon.ts
@@ -124,7 +124,7 @@
     const engine = this.#engine(endpoint.id);
     const { memoryTokens } = description.engines;
     this.board.noteRead(endpoint.id, memoryTokens, prompt);
-    const pending = this.board.beginRead(endpoint.id, plan.workTokens, plan.urgency);
+    const pending = this.board.beginPrefill(endpoint.id, plan.workTokens, plan.urgency);
     this.board.beginRun(endpoint.id);
     const sentAt = time.now;
     const finish = (): void => {
--- a/packages/gateway/src/activeSend.ts
+++ b/packages/gateway/src/activeSend.ts
@@ -45,7 +45,8 @@
     this.plan = planned.plan;
     this.sentAt = performance.now();
     const { plan, endpoint } = planned;
-    this.#read = plan === undefined ? undefined : context.board.beginRead(endpoint.id, plan.workTokens, plan.urgency);
+    this.#read =
+      plan === undefined ? undefined : context.board.beginPrefill(endpoint.id, plan.workTokens, plan.urgency);
     this.#silence = new silenceWatches.SilenceWatch(context, served, planned, this.sentAt);
   }
 
--- a/packages/serving/src/engineLoadTracker.ts
+++ b/packages/serving/src/engineLoadTracker.ts
@@ -78,7 +78,7 @@
    * @param level - urgency of the request
    * @returns the read, to be ended with {@link endRead}
    */
-  beginRead(endpointId: string, tokens: number, level: number): PendingPrefill {
+  beginPrefill(endpointId: string, tokens: number, level: number): PendingPrefill {
     const state = this.#state(endpointId);
     state.unread[level] = (state.unread[level] ?? 0) + tokens;
     return { endpointId, level, tokens, done: false };
--- a/packages/serving/tests/placement.test.ts
+++ b/packages/serving/tests/placement.test.ts
@@ -70,7 +70,7 @@
   const board = new serving.EngineLoadTracker();
   // Its shared parts are cached everywhere, and the prefill engines have some tokens to read before it.
   for (const { id } of FLEET) board.noteRead(id, MEMORY_TOKENS, prompt("g", "before", 10));
-  for (const id of ["p1", "p2"]) board.beginRead(id, 4_000, 0);
+  for (const id of ["p1", "p2"]) board.beginPrefill(id, 4_000, 0);
   const own = prompt("g", "own", 800);
   assert.is(place(board, own).prefillEngine, undefined);
   for (const id of ["d1", "d2"]) for (let stream = 0; stream < 40; stream++) board.beginRun(id);
@@ -82,7 +82,7 @@
 suite("a prompt is read apart when the events beside it would be late, and a short one is not", () => {
   const board = new serving.EngineLoadTracker();
   for (const { id } of FLEET) board.noteRead(id, MEMORY_TOKENS, prompt("g", "before", 10));
-  for (const id of ["p1", "p2"]) board.beginRead(id, 8_000, 0);
+  for (const id of ["p1", "p2"]) board.beginPrefill(id, 8_000, 0);
   for (const id of ["d1", "d2"]) for (let stream = 0; stream < 4; stream++) board.beginRun(id);
   assert.is(place(board, prompt("g", "own", 300)).prefillEngine, undefined);
   const long = prompt("g", "own", 3_000);
@@ -132,7 +132,7 @@
   const first = place(board, prompt("dossier", "first", 1_000));
   const home = (first.prefillEngine ?? first.decodeEngine).id;
   board.noteRead(home, MEMORY_TOKENS, prompt("dossier", "first", 1_000), true);
-  board.beginRead(home, 400_000, 0);
+  board.beginPrefill(home, 400_000, 0);
   const plan = place(board, prompt("dossier", "second", 1_000));
   assert.is(plan.copySource?.id, home);
   assert.is.not((plan.prefillEngine ?? plan.decodeEngine).id, home);
@@ -146,7 +146,7 @@
   const first = place(board, prompt("dossier", "first", 1_000));
   const home = (first.prefillEngine ?? first.decodeEngine).id;
   board.noteRead(home, MEMORY_TOKENS, prompt("dossier", "first", 1_000));
-  board.beginRead(home, 400_000, 0);
+  board.beginPrefill(home, 400_000, 0);
   assert.is(place(board, prompt("dossier", "second", 1_000)).copySource, undefined);
 });
 
@@ -155,7 +155,7 @@
 suite("a short prompt waits for the long one that its engine has begun", () => {
   const board = new serving.EngineLoadTracker();
   assert.is(board.tokensBegun("p1", 2, 0), 0);
-  board.beginRead("p1", 30_000, 7);
+  board.beginPrefill("p1", 30_000, 7);
   const begun = board.tokensBegun("p1", 2, 0);
   assert.ok(begun > 5_000 && begun <= 15_000, `${begun}`);
   assert.is(board.tokensBegun("p1", 7, 0), 0);
--- a/packages/serving/tests/promptAdmission.test.ts
+++ b/packages/serving/tests/promptAdmission.test.ts
@@ -62,7 +62,7 @@
 /** Both engines have prompts of medium length to read, for longer than callers wait. */
 function busyBoard(): serving.EngineLoadTracker {
   const board = new serving.EngineLoadTracker();
-  for (const id of ["p1", "d1"]) board.beginRead(id, QUEUE_TOKENS, serving.urgencyOf(10_000));
+  for (const id of ["p1", "d1"]) board.beginPrefill(id, QUEUE_TOKENS, serving.urgencyOf(10_000));
   return board;
 }
 
@@ -93,7 +93,7 @@
 
 suite("what no level brings in time is turned away", () => {
   const board = new serving.EngineLoadTracker();
-  for (const id of ["p1", "d1"]) board.beginRead(id, QUEUE_TOKENS, 0);
+  for (const id of ["p1", "d1"]) board.beginPrefill(id, QUEUE_TOKENS, 0);
   const shares = new serving.AcceptanceTracker();
   for (let index = 0; index < 20; index++) assert.ok(admit(board, LONG_TOKENS, shares).isErr());
 });
