--- a/packages/experiment/src/emulatedDaemon.ts
+++ b/packages/experiment/src/emulatedDaemon.ts
@@ -128,7 +128,7 @@
     this.board.beginRun(endpoint.id);
     const sentAt = time.now;
     const finish = (): void => {
-      this.board.endRead(pending);
+      this.board.endPrefill(pending);
       this.board.endRun(endpoint.id);
     };
     const onRead = (): void => {
--- a/packages/gateway/src/activeSend.ts
+++ b/packages/gateway/src/activeSend.ts
@@ -88,7 +88,7 @@
    */
   endRead(): boolean {
     if (this.#read === undefined) return false;
-    this.#context.board.endRead(this.#read);
+    this.#context.board.endPrefill(this.#read);
     this.#read = undefined;
     this.#begun = true;
     return true;
--- a/packages/serving/src/engineLoadTracker.ts
+++ b/packages/serving/src/engineLoadTracker.ts
@@ -76,7 +76,7 @@
    * @param endpointId - the engine
    * @param tokens - tokens that it has to read
    * @param level - urgency of the request
-   * @returns the read, to be ended with {@link endRead}
+   * @returns the read, to be ended with {@link endPrefill}
    */
   beginPrefill(endpointId: string, tokens: number, level: number): PendingPrefill {
     const state = this.#state(endpointId);
@@ -85,7 +85,7 @@
   }
 
   /** @param read - a read that has ended; ending it twice has no effect */
-  endRead(read: PendingPrefill): void {
+  endPrefill(read: PendingPrefill): void {
     if (read.done) return;
     read.done = true;
     const state = this.#state(read.endpointId);
