--- a/packages/experiment/src/emulatedDaemon.ts
+++ b/packages/experiment/src/emulatedDaemon.ts
@@ -125,7 +125,7 @@
     const { memoryTokens } = description.engines;
     this.board.noteRead(endpoint.id, memoryTokens, prompt);
     const pending = this.board.beginPrefill(endpoint.id, plan.workTokens, plan.urgency);
-    this.board.beginRun(endpoint.id);
+    this.board.beginRequest(endpoint.id);
     const sentAt = time.now;
     const finish = (): void => {
       this.board.endPrefill(pending);
@@ -163,7 +163,7 @@
   }
 
   #stream(engine: emulatedEngines.EmulatedEngine, request: loads.LoadRequest, course: RequestCourse): void {
-    this.board.beginRun(engine.id);
+    this.board.beginRequest(engine.id);
     engine.stream({
       events: request.events,
       onEvent: (pauseMs) => course.noteEvent(pauseMs),
--- a/packages/gateway/src/activeSend.ts
+++ b/packages/gateway/src/activeSend.ts
@@ -76,7 +76,7 @@
     receiver: sendings.AnswerReceiver,
     onSilent: (silentMs: number) => void,
   ): void {
-    this.#context.board.beginRun(this.endpoint.id);
+    this.#context.board.beginRequest(this.endpoint.id);
     this.#silence.start(onSilent);
     this.#sending = this.#context.client.send(this.endpoint, message, receiver);
   }
--- a/packages/serving/src/engineLoadTracker.ts
+++ b/packages/serving/src/engineLoadTracker.ts
@@ -93,7 +93,7 @@
   }
 
   /** @param endpointId - endpoint at which a request begins */
-  beginRun(endpointId: string): void {
+  beginRequest(endpointId: string): void {
     this.#state(endpointId).running++;
   }
 
--- a/packages/serving/tests/endpointLives.test.ts
+++ b/packages/serving/tests/endpointLives.test.ts
@@ -160,7 +160,7 @@
     0,
   );
   for (const id of ["e1", "e2"]) board.noteRead(id, 10_000, prompt);
-  board.beginRun("e1");
+  board.beginRequest("e1");
   board.forget("e1");
   assert.is(board.running("e1", 1), 1);
   assert.is(board.tokensAhead("e1", 0, 1), 0);
--- a/packages/serving/tests/placement.test.ts
+++ b/packages/serving/tests/placement.test.ts
@@ -73,7 +73,7 @@
   for (const id of ["p1", "p2"]) board.beginPrefill(id, 4_000, 0);
   const own = prompt("g", "own", 800);
   assert.is(place(board, own).prefillEngine, undefined);
-  for (const id of ["d1", "d2"]) for (let stream = 0; stream < 40; stream++) board.beginRun(id);
+  for (const id of ["d1", "d2"]) for (let stream = 0; stream < 40; stream++) board.beginRequest(id);
   assert.is(place(board, own).prefillEngine?.role, serving.EngineRole.Prefill);
 });
 
@@ -83,7 +83,7 @@
   const board = new serving.EngineLoadTracker();
   for (const { id } of FLEET) board.noteRead(id, MEMORY_TOKENS, prompt("g", "before", 10));
   for (const id of ["p1", "p2"]) board.beginPrefill(id, 8_000, 0);
-  for (const id of ["d1", "d2"]) for (let stream = 0; stream < 4; stream++) board.beginRun(id);
+  for (const id of ["d1", "d2"]) for (let stream = 0; stream < 4; stream++) board.beginRequest(id);
   assert.is(place(board, prompt("g", "own", 300)).prefillEngine, undefined);
   const long = prompt("g", "own", 3_000);
   assert.is(place(board, long).prefillEngine, undefined);
