--- a/packages/experiment/src/emulatedDaemon.ts
+++ b/packages/experiment/src/emulatedDaemon.ts
@@ -129,7 +129,7 @@
     const sentAt = time.now;
     const finish = (): void => {
       this.board.endPrefill(pending);
-      this.board.endRun(endpoint.id);
+      this.board.endRequest(endpoint.id);
     };
     const onRead = (): void => {
       finish();
@@ -169,7 +169,7 @@
       onEvent: (pauseMs) => course.noteEvent(pauseMs),
       onEnd: () => {
         if (course.meanPauseMs !== undefined) this.speeds.learnPause(engine.streams, course.meanPauseMs);
-        this.board.endRun(engine.id);
+        this.board.endRequest(engine.id);
         this.demand.learnEvents(request.prompt.outputTokens, request.events);
         course.end(outcomes.Ending.Answered);
       },
--- a/packages/gateway/src/activeSend.ts
+++ b/packages/gateway/src/activeSend.ts
@@ -119,7 +119,7 @@
   /** The send is over: its work is taken off the endpoint. */
   release(): void {
     this.endRead();
-    this.#context.board.endRun(this.endpoint.id);
+    this.#context.board.endRequest(this.endpoint.id);
     this.#silence.stop();
   }
 }
--- a/packages/serving/src/engineLoadTracker.ts
+++ b/packages/serving/src/engineLoadTracker.ts
@@ -98,7 +98,7 @@
   }
 
   /** @param endpointId - endpoint at which a request has ended */
-  endRun(endpointId: string): void {
+  endRequest(endpointId: string): void {
     const state = this.#state(endpointId);
     state.running = Math.max(0, state.running - 1);
   }
