--- a/packages/experiment/src/emulatedDaemon.ts
+++ b/packages/experiment/src/emulatedDaemon.ts
@@ -183,7 +183,7 @@
       unreadTokens: plan.unreadTokens,
       cachedTokens: Math.max(0, prompt.promptTokens - plan.unreadTokens),
       tokensWaiting: plan.tokensWaiting,
-      streams: this.board.running(endpoint.id, this.#parts.time.now),
+      streams: this.board.runningRequests(endpoint.id, this.#parts.time.now),
       tookMs,
     });
   }
--- a/packages/experiment/src/experiment.ts
+++ b/packages/experiment/src/experiment.ts
@@ -148,7 +148,7 @@
         engines: this.#engines.map((engine) => ({
           id: engine.id,
           role: engine.away ? (this.#rolesToCome.get(engine.id) ?? engine.role) : engine.role,
-          running: first.board.running(engine.id, now),
+          running: first.board.runningRequests(engine.id, now),
           slots: this.#description.engines.slots,
           changing: engine.away,
         })),
--- a/packages/gateway/src/endpointLessons.ts
+++ b/packages/gateway/src/endpointLessons.ts
@@ -48,7 +48,7 @@
       waiting: active.plan?.tokensWaiting,
       prompt: this.#served.caller.headers.prompt?.promptTokens,
       urgency: active.plan?.urgency,
-      running: this.#context.board.running(active.endpoint.id, now),
+      running: this.#context.board.runningRequests(active.endpoint.id, now),
       predictedMs: Math.round(active.predictedMs),
       leftAfterMs: active.departure.leftAfterMs,
       tookMs: Math.round(tookMs),
@@ -81,7 +81,7 @@
     const { prompt } = this.#served.caller.headers;
     if (prompt !== undefined) this.#context.demand.learnEvents(prompt.outputTokens, events);
     if (meanPauseMs === undefined || this.#served.sends > 1 || !this.#isOfThisLife(active)) return;
-    const streams = this.#context.board.running(active.endpoint.id, performance.now());
+    const streams = this.#context.board.runningRequests(active.endpoint.id, performance.now());
     this.#speeds().learnPause(streams, meanPauseMs);
   }
 
@@ -103,7 +103,7 @@
       unreadTokens: plan.unreadTokens,
       cachedTokens: Math.max(0, prompt.promptTokens - plan.unreadTokens),
       tokensWaiting: plan.tokensWaiting,
-      streams: this.#context.board.running(endpoint.id, now),
+      streams: this.#context.board.runningRequests(endpoint.id, now),
       tookMs,
     });
   }
--- a/packages/gateway/src/roleChanger.ts
+++ b/packages/gateway/src/roleChanger.ts
@@ -96,7 +96,7 @@
     const engines = view.directory.serving(service).map((engine) => ({
       id: engine.id,
       role: view.roleToCome(engine, now),
-      running: board.running(engine.id, now),
+      running: board.runningRequests(engine.id, now),
       slots: engine.slots,
       changing: view.isChanging(engine, now),
       failedAt: this.#failedAt.get(engine.id),
--- a/packages/gateway/src/sendChooser.ts
+++ b/packages/gateway/src/sendChooser.ts
@@ -70,7 +70,7 @@
     const now = performance.now();
     const able = this.#candidates(definition)
       .filter((endpoint) => endpoint.role !== serving.EngineRole.Prefill && !endDetector.hasEnded(endpoint, now))
-      .sort((left, right) => board.running(left.id, now) - board.running(right.id, now));
+      .sort((left, right) => board.runningRequests(left.id, now) - board.runningRequests(right.id, now));
     const [emptiest, another] = able;
     if (emptiest === undefined || another === undefined) return neverthrow.err({ reason: "no-spare-endpoint" });
     if (definition?.engine === undefined || prompt === undefined) return answeringAt(emptiest, "no-endpoint");
--- a/packages/serving/src/engineLoadTracker.ts
+++ b/packages/serving/src/engineLoadTracker.ts
@@ -156,7 +156,7 @@
    * @param now - current instant in milliseconds
    * @returns requests under way there, from all daemons
    */
-  running(endpointId: string, now: number): number {
+  runningRequests(endpointId: string, now: number): number {
     this.#expire(now);
     return this.ownRunning(endpointId) + (this.#peerTotals.get(endpointId)?.running ?? 0);
   }
--- a/packages/serving/src/leastBusy.ts
+++ b/packages/serving/src/leastBusy.ts
@@ -28,7 +28,7 @@
   let chosen: directories.Endpoint | undefined;
   let chosenCost = Number.POSITIVE_INFINITY;
   for (const endpoint of inputs.endpoints) {
-    const running = board.running(endpoint.id, now) + 1;
+    const running = board.runningRequests(endpoint.id, now) + 1;
     const away = endpoint.dataCentre === inputs.dataCentre ? 0 : OTHER_DATA_CENTRE_COST;
     const cost = running * health.slowness(endpoint.id) + away + inputs.draw() * TIE_SPREAD;
     if (cost < chosenCost) {
--- a/packages/serving/src/placement.ts
+++ b/packages/serving/src/placement.ts
@@ -65,7 +65,7 @@
   const target = chooseDecodeEngine(inputs, apart?.engine);
   if (direct === undefined || target === undefined) return undefined;
   const directMs = direct.predictedMs + strainMs(inputs, direct);
-  const slotMs = slotWaitMs(target, inputs.loads.running(target.id, inputs.now));
+  const slotMs = slotWaitMs(target, inputs.loads.runningRequests(target.id, inputs.now));
   const handoverMs = inputs.speeds.handoverMs(inputs.prompt.promptTokens);
   const apartMs = apart === undefined ? Number.POSITIVE_INFINITY : apart.predictedMs + handoverMs + slotMs;
   if (apart === undefined || directMs <= apartMs) {
@@ -88,7 +88,7 @@
 function strainMs(inputs: PlacementInputs, direct: Candidate): number {
   const { loads: board, now, maxPauseMs: pauseAimMs, speeds } = inputs;
   const { id, role } = direct.engine;
-  const streams = board.running(id, now);
+  const streams = board.runningRequests(id, now);
   const readMs = speeds.readMs(role, direct.workTokens);
   // An event of a stream waits for all that is read between its tokens.
   const pauseMs = speeds.pause.baseMs + speeds.pause.perStreamMs * streams;
@@ -206,7 +206,7 @@
   const tokensAhead = board.tokensAhead(engine.id, level, now);
   const tokensWaiting = board.tokensAhead(engine.id, urgencies.LEAST_URGENT, now);
   const workTokens = speeds.workTokens(engine.role, { unreadTokens, cachedTokens });
-  const running = board.running(engine.id, now);
+  const running = board.runningRequests(engine.id, now);
   const slowness = inputs.slowness(engine.id);
   const ownMs = speeds.fixedMs(engine.role, running) + copyMs + speeds.readMs(engine.role, workTokens);
   const aloneMs = ownMs * slowness + wayMs(inputs, engine);
@@ -267,7 +267,7 @@
   let chosen: directories.Endpoint | undefined;
   let chosenCost = Number.POSITIVE_INFINITY;
   for (const engine of decoders) {
-    const running = inputs.loads.running(engine.id, inputs.now);
+    const running = inputs.loads.runningRequests(engine.id, inputs.now);
     const fullMs = ((1 + running) / engine.slots) * FULL_ENGINE_MS + slotWaitMs(engine, running);
     const aheadTokens = inputs.loads.tokensAhead(engine.id, urgencies.LEAST_URGENT, inputs.now);
     const aheadMs = inputs.speeds.readMs(engine.role, aheadTokens);
--- a/packages/serving/tests/endpointLives.test.ts
+++ b/packages/serving/tests/endpointLives.test.ts
@@ -162,18 +162,18 @@
   for (const id of ["e1", "e2"]) board.noteRead(id, 10_000, prompt);
   board.beginRequest("e1");
   board.forget("e1");
-  assert.is(board.running("e1", 1), 1);
+  assert.is(board.runningRequests("e1", 1), 1);
   assert.is(board.tokensAhead("e1", 0, 1), 0);
   assert.is(board.cache("e1", 10_000).cachedTokens(prompt), 0);
   assert.equal(
     board.takeUntoldReads().map((read) => `${read.endpointId} ${read.part.id}`),
     ["e2 shared", "e2 own"],
   );
-  assert.is(board.running("e2", 1), 3);
+  assert.is(board.runningRequests("e2", 1), 3);
   // The peer's next word takes its former one off: what was dropped must not be taken off twice.
   board.hear("peer", new Map([["e1", work]]), 2);
-  assert.is(board.running("e1", 3), 4);
-  assert.is(board.running("e2", 3), 0);
+  assert.is(board.runningRequests("e1", 3), 4);
+  assert.is(board.runningRequests("e2", 3), 0);
 });
 
 suite.run();
