--- a/packages/experiment/src/experiment.ts
+++ b/packages/experiment/src/experiment.ts
@@ -131,7 +131,7 @@
     for (const daemon of this.#daemons) {
       for (const { name, work, reads, observations, sizes } of said) {
         if (name === daemon.name) continue;
-        daemon.board.hear(name, work, now);
+        daemon.board.updatePeerWork(name, work, now);
         for (const read of reads) daemon.board.hearRead(read);
         for (const count of sizes) daemon.sizeShares.hear(count, now);
         for (const { role, observation } of observations) daemon.speeds.learnReading(role, observation);
--- a/packages/gateway/src/peerWork.ts
+++ b/packages/gateway/src/peerWork.ts
@@ -74,7 +74,7 @@
   hear(pulse: messages.Pulse, now: number, validMs: number): void {
     const { board, view } = this.#parts;
     const work = pulse.work.map(({ endpoint, unread, running }) => [endpoint, { unread, running }] as const);
-    board.hear(pulse.vm, new Map(work), now, validMs);
+    board.updatePeerWork(pulse.vm, new Map(work), now, validMs);
     for (const { endpoint, model, part, tokens, startedAtMs, isRead } of pulse.reads) {
       if (toldLives.isOfAnotherLife(view, endpoint, toldLives.fromMessage(startedAtMs))) continue;
       board.hearRead({ endpointId: endpoint, model, part: { id: part, tokens }, isRead });
--- a/packages/serving/src/engineLoadTracker.ts
+++ b/packages/serving/src/engineLoadTracker.ts
@@ -109,7 +109,7 @@
    * @param now - current instant in milliseconds
    * @param validMs - time for which the word counts unless the peer speaks again, in milliseconds
    */
-  hear(
+  updatePeerWork(
     peer: string,
     work: ReadonlyMap<string, EndpointWork>,
     now: number,
--- a/packages/serving/tests/endpointLives.test.ts
+++ b/packages/serving/tests/endpointLives.test.ts
@@ -151,7 +151,7 @@
     outputTokens: 10,
   };
   const work = { unread: [900], running: 3 };
-  board.hear(
+  board.updatePeerWork(
     "peer",
     new Map([
       ["e1", work],
@@ -171,7 +171,7 @@
   );
   assert.is(board.runningRequests("e2", 1), 3);
   // The peer's next word takes its former one off: what was dropped must not be taken off twice.
-  board.hear("peer", new Map([["e1", work]]), 2);
+  board.updatePeerWork("peer", new Map([["e1", work]]), 2);
   assert.is(board.runningRequests("e1", 3), 4);
   assert.is(board.runningRequests("e2", 3), 0);
 });
--- a/packages/serving/tests/placement.test.ts
+++ b/packages/serving/tests/placement.test.ts
@@ -111,7 +111,7 @@
 // A peer dies with work noted for it. Its word must expire, or the engine would look busy for ever.
 suite("a peer's work counts until its word is old", () => {
   const board = new serving.EngineLoadTracker();
-  board.hear("peer", new Map([["p1", { unread: [900], running: 3 }]]), 0);
+  board.updatePeerWork("peer", new Map([["p1", { unread: [900], running: 3 }]]), 0);
   assert.is(board.tokensAhead("p1", 0, 100), 900);
   assert.is(board.tokensAhead("p1", 0, 100 + serving.PEER_WORK_EXPIRY_MS), 0);
 });
