--- a/packages/experiment/src/emulatedDaemon.ts
+++ b/packages/experiment/src/emulatedDaemon.ts
@@ -123,7 +123,7 @@
     const endpoint = plan.prefillEngine ?? plan.decodeEngine;
     const engine = this.#engine(endpoint.id);
     const { memoryTokens } = description.engines;
-    this.board.noteRead(endpoint.id, memoryTokens, prompt);
+    this.board.noteCachedPrompt(endpoint.id, memoryTokens, prompt);
     const pending = this.board.beginPrefill(endpoint.id, plan.workTokens, plan.urgency);
     this.board.beginRequest(endpoint.id);
     const sentAt = time.now;
@@ -133,7 +133,7 @@
     };
     const onRead = (): void => {
       finish();
-      this.board.noteRead(endpoint.id, memoryTokens, prompt, true);
+      this.board.noteCachedPrompt(endpoint.id, memoryTokens, prompt, true);
       this.#learnRead(plan, endpoint, prompt, time.now - sentAt);
       if (course.over) return;
       if (plan.prefillEngine === undefined) this.#stream(engine, request, course);
--- a/packages/gateway/src/endpointLessons.ts
+++ b/packages/gateway/src/endpointLessons.ts
@@ -90,7 +90,7 @@
     const { prompt } = this.#served.caller.headers;
     const memoryTokens = this.#context.view.table?.service(this.#served.service)?.engine?.memoryTokens;
     if (prompt === undefined || memoryTokens === undefined) return;
-    this.#context.board.noteRead(active.endpoint.id, memoryTokens, prompt, true);
+    this.#context.board.noteCachedPrompt(active.endpoint.id, memoryTokens, prompt, true);
   }
 
   #learnReading(active: activeSends.ActiveSend, tookMs: number, now: number): void {
--- a/packages/gateway/src/sendChooser.ts
+++ b/packages/gateway/src/sendChooser.ts
@@ -152,7 +152,7 @@
     }
     const plan = admitted.value;
     const reader = plan.prefillEngine ?? plan.decodeEngine;
-    this.#context.board.noteRead(reader.id, engine.memoryTokens, prompt);
+    this.#context.board.noteCachedPrompt(reader.id, engine.memoryTokens, prompt);
     const stage = plan.prefillEngine === undefined ? Stage.Answering : Stage.Reading;
     return neverthrow.ok({ endpoint: reader, stage, predictedMs: plan.predictedMs, plan });
   }
--- a/packages/serving/src/engineLoadTracker.ts
+++ b/packages/serving/src/engineLoadTracker.ts
@@ -190,7 +190,7 @@
    * @param prompt - the prompt
    * @param isRead - whether it has read it already
    */
-  noteRead(endpointId: string, memoryTokens: number, prompt: promptParts.Prompt, isRead = false): void {
+  noteCachedPrompt(endpointId: string, memoryTokens: number, prompt: promptParts.Prompt, isRead = false): void {
     this.cache(endpointId, memoryTokens).read(prompt, isRead);
     const { model, parts } = prompt;
     for (const part of parts) this.#untoldReads.push({ endpointId, model, part, isRead });
--- a/packages/serving/tests/endpointLives.test.ts
+++ b/packages/serving/tests/endpointLives.test.ts
@@ -159,7 +159,7 @@
     ]),
     0,
   );
-  for (const id of ["e1", "e2"]) board.noteRead(id, 10_000, prompt);
+  for (const id of ["e1", "e2"]) board.noteCachedPrompt(id, 10_000, prompt);
   board.beginRequest("e1");
   board.forget("e1");
   assert.is(board.runningRequests("e1", 1), 1);
--- a/packages/serving/tests/placement.test.ts
+++ b/packages/serving/tests/placement.test.ts
@@ -56,7 +56,7 @@
     const group = `dossier-${index % 12}`;
     const plan = place(board, prompt(group, `own-${index}`, 1_000));
     const reader = (plan.prefillEngine ?? plan.decodeEngine).id;
-    board.noteRead(reader, MEMORY_TOKENS, prompt(group, `own-${index}`, 1_000));
+    board.noteCachedPrompt(reader, MEMORY_TOKENS, prompt(group, `own-${index}`, 1_000));
     readers.set(group, (readers.get(group) ?? new Set()).add(reader));
     unread += plan.unreadTokens;
   }
@@ -69,7 +69,7 @@
 suite("a prompt is read apart when reading it here would hold up many streams", () => {
   const board = new serving.EngineLoadTracker();
   // Its shared parts are cached everywhere, and the prefill engines have some tokens to read before it.
-  for (const { id } of FLEET) board.noteRead(id, MEMORY_TOKENS, prompt("g", "before", 10));
+  for (const { id } of FLEET) board.noteCachedPrompt(id, MEMORY_TOKENS, prompt("g", "before", 10));
   for (const id of ["p1", "p2"]) board.beginPrefill(id, 4_000, 0);
   const own = prompt("g", "own", 800);
   assert.is(place(board, own).prefillEngine, undefined);
@@ -81,7 +81,7 @@
 // that is read between its tokens, so one such prompt makes all streams of its engine late.
 suite("a prompt is read apart when the events beside it would be late, and a short one is not", () => {
   const board = new serving.EngineLoadTracker();
-  for (const { id } of FLEET) board.noteRead(id, MEMORY_TOKENS, prompt("g", "before", 10));
+  for (const { id } of FLEET) board.noteCachedPrompt(id, MEMORY_TOKENS, prompt("g", "before", 10));
   for (const id of ["p1", "p2"]) board.beginPrefill(id, 8_000, 0);
   for (const id of ["d1", "d2"]) for (let stream = 0; stream < 4; stream++) board.beginRequest(id);
   assert.is(place(board, prompt("g", "own", 300)).prefillEngine, undefined);
@@ -131,7 +131,7 @@
   const board = new serving.EngineLoadTracker();
   const first = place(board, prompt("dossier", "first", 1_000));
   const home = (first.prefillEngine ?? first.decodeEngine).id;
-  board.noteRead(home, MEMORY_TOKENS, prompt("dossier", "first", 1_000), true);
+  board.noteCachedPrompt(home, MEMORY_TOKENS, prompt("dossier", "first", 1_000), true);
   board.beginPrefill(home, 400_000, 0);
   const plan = place(board, prompt("dossier", "second", 1_000));
   assert.is(plan.copySource?.id, home);
@@ -145,7 +145,7 @@
   const board = new serving.EngineLoadTracker();
   const first = place(board, prompt("dossier", "first", 1_000));
   const home = (first.prefillEngine ?? first.decodeEngine).id;
-  board.noteRead(home, MEMORY_TOKENS, prompt("dossier", "first", 1_000));
+  board.noteCachedPrompt(home, MEMORY_TOKENS, prompt("dossier", "first", 1_000));
   board.beginPrefill(home, 400_000, 0);
   assert.is(place(board, prompt("dossier", "second", 1_000)).copySource, undefined);
 });
