--- a/packages/experiment/src/experiment.ts
+++ b/packages/experiment/src/experiment.ts
@@ -132,7 +132,7 @@
       for (const { name, work, reads, observations, sizes } of said) {
         if (name === daemon.name) continue;
         daemon.board.updatePeerWork(name, work, now);
-        for (const read of reads) daemon.board.hearRead(read);
+        for (const read of reads) daemon.board.notePeerRead(read);
         for (const count of sizes) daemon.sizeShares.hear(count, now);
         for (const { role, observation } of observations) daemon.speeds.learnReading(role, observation);
       }
--- a/packages/gateway/src/peerWork.ts
+++ b/packages/gateway/src/peerWork.ts
@@ -77,7 +77,7 @@
     board.updatePeerWork(pulse.vm, new Map(work), now, validMs);
     for (const { endpoint, model, part, tokens, startedAtMs, isRead } of pulse.reads) {
       if (toldLives.isOfAnotherLife(view, endpoint, toldLives.fromMessage(startedAtMs))) continue;
-      board.hearRead({ endpointId: endpoint, model, part: { id: part, tokens }, isRead });
+      board.notePeerRead({ endpointId: endpoint, model, part: { id: part, tokens }, isRead });
     }
     this.#learn(pulse.observations);
     for (const count of pulse.sizes) this.#parts.sizeShares.hear(count, now);
--- a/packages/serving/src/engineLoadTracker.ts
+++ b/packages/serving/src/engineLoadTracker.ts
@@ -212,7 +212,7 @@
   /**
    * @param read - a part that an engine was given by a peer
    */
-  hearRead(read: PartRead): void {
+  notePeerRead(read: PartRead): void {
     this.#states.get(read.endpointId)?.cache?.readPart(read.model, read.part, read.isRead);
   }
 
