--- a/packages/experiment/src/experiment.ts
+++ b/packages/experiment/src/experiment.ts
@@ -124,7 +124,7 @@
     const said = this.#daemons.map(({ name, board, sizeShares, speeds }) => ({
       name,
       work: board.ownWork(),
-      reads: board.takeUntoldReads(),
+      reads: board.takeUnsentReads(),
       observations: speeds.takeUntold(),
       sizes: sizeShares.takeUntold(),
     }));
--- a/packages/gateway/src/peerWork.ts
+++ b/packages/gateway/src/peerWork.ts
@@ -85,7 +85,7 @@
 
   #readMessages(): messages.PartRead[] {
     const { board, view } = this.#parts;
-    return board.takeUntoldReads().map(({ endpointId, model, part, isRead }) =>
+    return board.takeUnsentReads().map(({ endpointId, model, part, isRead }) =>
       protobuf.create(messages.PartReadSchema, {
         endpoint: endpointId,
         model,
--- a/packages/serving/src/engineLoadTracker.ts
+++ b/packages/serving/src/engineLoadTracker.ts
@@ -198,7 +198,7 @@
   }
 
   /** @returns reads that the peers have not been told of; they are then forgotten */
-  takeUntoldReads(): PartRead[] {
+  takeUnsentReads(): PartRead[] {
     const reads = this.#untoldReads;
     this.#untoldReads = [];
     return reads;
--- a/packages/serving/tests/endpointLives.test.ts
+++ b/packages/serving/tests/endpointLives.test.ts
@@ -166,7 +166,7 @@
   assert.is(board.tokensAhead("e1", 0, 1), 0);
   assert.is(board.cache("e1", 10_000).cachedTokens(prompt), 0);
   assert.equal(
-    board.takeUntoldReads().map((read) => `${read.endpointId} ${read.part.id}`),
+    board.takeUnsentReads().map((read) => `${read.endpointId} ${read.part.id}`),
     ["e2 shared", "e2 own"],
   );
   assert.is(board.runningRequests("e2", 1), 3);
