--- a/packages/gateway/src/peerLink.ts
+++ b/packages/gateway/src/peerLink.ts
@@ -152,7 +152,7 @@
     const now = performance.now();
     const hasChanged = this.standing.look(now);
     const audience = this.#audience(now);
-    const news = this.#parts.board.hasUntoldReads || this.#workText() !== this.#saidWork;
+    const news = this.#parts.board.hasUnsentReads || this.#workText() !== this.#saidWork;
     this.#say(now, audience, {
       often: hasChanged || news || now - this.#saidAt.often >= QUIET_PULSE_MS,
       seldom: hasChanged || now - this.#saidAt.seldom >= this.#seldomPulseMs,
--- a/packages/serving/src/engineLoadTracker.ts
+++ b/packages/serving/src/engineLoadTracker.ts
@@ -205,7 +205,7 @@
   }
 
   /** @returns whether there are reads to tell the peers */
-  get hasUntoldReads(): boolean {
+  get hasUnsentReads(): boolean {
     return this.#untoldReads.length > 0;
   }
 
