--- a/packages/gateway/src/endpointLessons.ts
+++ b/packages/gateway/src/endpointLessons.ts
@@ -53,8 +53,8 @@
       leftAfterMs: active.departure.leftAfterMs,
       tookMs: Math.round(tookMs),
       slowness: this.#context.health.slowness(active.endpoint.id).toFixed(2),
-      tokensPerMs: this.#speeds().figures(active.endpoint.role).tokensPerMs.toFixed(1),
-      learnedFrom: this.#speeds().figures(active.endpoint.role).observations,
+      tokensPerMs: this.#speeds().prefillEstimate(active.endpoint.role).tokensPerMs.toFixed(1),
+      learnedFrom: this.#speeds().prefillEstimate(active.endpoint.role).observations,
     });
   }
 
--- a/packages/serving/src/engineSpeeds.ts
+++ b/packages/serving/src/engineSpeeds.ts
@@ -204,7 +204,7 @@
    * @param role - the role
    * @returns its figures
    */
-  figures(role: directories.EngineRole): ReadingFigures {
+  prefillEstimate(role: directories.EngineRole): ReadingFigures {
     const { coefficients, observations } = this.#reading(role);
     const [fixedMs = 0, , pairsMs = 0] = coefficients;
     return { fixedMs, tokensPerMs: TOKENS_IN_UNIT / this.#msPerUnit(role), pairsMs, observations };
--- a/packages/serving/tests/linearEstimate.test.ts
+++ b/packages/serving/tests/linearEstimate.test.ts
@@ -71,7 +71,7 @@
     const tookMs = readingMs(work, index < 1_000 ? fast : slow);
     speeds.learnReading(serving.EngineRole.Prefill, { ...work, tokensWaiting: 0, streams: 0, tookMs });
   }
-  const { tokensPerMs } = speeds.figures(serving.EngineRole.Prefill);
+  const { tokensPerMs } = speeds.prefillEstimate(serving.EngineRole.Prefill);
   assert.ok(Math.abs(tokensPerMs / slow.tokensPerMs - 1) < 0.15, `${tokensPerMs}`);
 });
 
@@ -87,7 +87,7 @@
     const tookMs = readingMs(work, index < 1_000 ? fast : slow);
     speeds.learnReading(serving.EngineRole.Prefill, { ...work, tokensWaiting: 0, streams: 0, tookMs });
   }
-  const { tokensPerMs } = speeds.figures(serving.EngineRole.Prefill);
+  const { tokensPerMs } = speeds.prefillEstimate(serving.EngineRole.Prefill);
   assert.ok(Math.abs(tokensPerMs / slow.tokensPerMs - 1) < 0.25, `${tokensPerMs}`);
 });
 
