--- a/packages/experiment/src/emulatedDaemon.ts
+++ b/packages/experiment/src/emulatedDaemon.ts
@@ -65,7 +65,7 @@
         const pairs = (unreadTokens * (cachedTokens + unreadTokens / 2)) / 1e6;
         const readMs = unreadTokens / engines.tokensPerMs + pairs * engines.pairsMsPerMillion;
         const tookMs = engines.fixedMs + readMs * multiple + 2 * WAY_MS;
-        this.speeds.learnReading(role, { unreadTokens, cachedTokens, tokensWaiting: 0, streams: 0, tookMs });
+        this.speeds.learnPrefill(role, { unreadTokens, cachedTokens, tokensWaiting: 0, streams: 0, tookMs });
       }
     }
     for (let index = 0; index < TAUGHT_PROMPTS; index++) {
--- a/packages/experiment/src/experiment.ts
+++ b/packages/experiment/src/experiment.ts
@@ -134,7 +134,7 @@
         daemon.board.updatePeerWork(name, work, now);
         for (const read of reads) daemon.board.notePeerRead(read);
         for (const count of sizes) daemon.sizeShares.hear(count, now);
-        for (const { role, observation } of observations) daemon.speeds.learnReading(role, observation);
+        for (const { role, observation } of observations) daemon.speeds.learnPrefill(role, observation);
       }
     }
     this.#time.after(this.#description.viewAgeMs, () => this.#tell());
--- a/packages/gateway/src/peerWork.ts
+++ b/packages/gateway/src/peerWork.ts
@@ -116,7 +116,7 @@
   #learn(observations: readonly messages.ReadObservation[]): void {
     for (const { service, role, ...observation } of observations) {
       const known = Object.values(serving.EngineRole).find((each) => each === role);
-      if (known !== undefined) this.#parts.speeds.of(service).learnReading(known, observation);
+      if (known !== undefined) this.#parts.speeds.of(service).learnPrefill(known, observation);
     }
   }
 }
--- a/packages/gateway/tests/helpers/exchangeStand.ts
+++ b/packages/gateway/tests/helpers/exchangeStand.ts
@@ -232,7 +232,7 @@
   slowDecoding(): void {
     const observation = { unreadTokens: 1_000, cachedTokens: 0, tokensWaiting: 0, streams: 0, tookMs: 5_000 };
     for (let index = 0; index < OBSERVATIONS; index++) {
-      this.#context.speeds.of("service").learnReading(serving.EngineRole.Decode, observation);
+      this.#context.speeds.of("service").learnPrefill(serving.EngineRole.Decode, observation);
     }
   }
 
--- a/packages/serving/src/engineSpeeds.ts
+++ b/packages/serving/src/engineSpeeds.ts
@@ -91,7 +91,7 @@
    * @param observation - a prompt that was read there
    */
   observeReading(role: directories.EngineRole, observation: ReadObservation): void {
-    this.learnReading(role, observation);
+    this.learnPrefill(role, observation);
     this.#untold.push({ role, observation });
     if (this.#untold.length > MOST_UNTOLD) this.#untold.shift();
   }
@@ -107,7 +107,7 @@
    * @param role - the engine's role
    * @param observation - a prompt that was read there; what waited before it makes it the less certain
    */
-  learnReading(role: directories.EngineRole, observation: ReadObservation): void {
+  learnPrefill(role: directories.EngineRole, observation: ReadObservation): void {
     const estimate = this.#reading(role);
     const own = readingFeatures(observation, observation.streams);
     const queueMs = (observation.tokensWaiting / TOKENS_IN_UNIT) * this.#msPerUnit(role);
--- a/packages/serving/tests/linearEstimate.test.ts
+++ b/packages/serving/tests/linearEstimate.test.ts
@@ -46,7 +46,7 @@
       const work = { unreadTokens: 300 * Math.exp(size * 4), cachedTokens: cached < 0.5 ? 0 : cached * 13_000 };
       const late = luck < 0.2 ? 1 + 5 * luck : 1;
       const tookMs = readingMs(work, { fixedMs, tokensPerMs, pairsMs }) * late;
-      speeds.learnReading(serving.EngineRole.Prefill, { ...work, tokensWaiting: 0, streams: 0, tookMs });
+      speeds.learnPrefill(serving.EngineRole.Prefill, { ...work, tokensWaiting: 0, streams: 0, tookMs });
     }
     for (const unreadTokens of [1_000, 4_000, 16_000]) {
       const work = { unreadTokens, cachedTokens: 4_000 };
@@ -69,7 +69,7 @@
   for (let index = 0; index < 1_080; index++) {
     const work = { unreadTokens: 300 * Math.exp(random.next() * 4), cachedTokens: 2_000 };
     const tookMs = readingMs(work, index < 1_000 ? fast : slow);
-    speeds.learnReading(serving.EngineRole.Prefill, { ...work, tokensWaiting: 0, streams: 0, tookMs });
+    speeds.learnPrefill(serving.EngineRole.Prefill, { ...work, tokensWaiting: 0, streams: 0, tookMs });
   }
   const { tokensPerMs } = speeds.prefillEstimate(serving.EngineRole.Prefill);
   assert.ok(Math.abs(tokensPerMs / slow.tokensPerMs - 1) < 0.15, `${tokensPerMs}`);
@@ -85,7 +85,7 @@
   for (let index = 0; index < 1_040; index++) {
     const work = { unreadTokens: 300 * Math.exp(random.next() * 4), cachedTokens: 2_000 };
     const tookMs = readingMs(work, index < 1_000 ? fast : slow);
-    speeds.learnReading(serving.EngineRole.Prefill, { ...work, tokensWaiting: 0, streams: 0, tookMs });
+    speeds.learnPrefill(serving.EngineRole.Prefill, { ...work, tokensWaiting: 0, streams: 0, tookMs });
   }
   const { tokensPerMs } = speeds.prefillEstimate(serving.EngineRole.Prefill);
   assert.ok(Math.abs(tokensPerMs / slow.tokensPerMs - 1) < 0.25, `${tokensPerMs}`);
