--- a/packages/experiment/src/emulatedDaemon.ts
+++ b/packages/experiment/src/emulatedDaemon.ts
@@ -179,7 +179,7 @@
   #learnRead(plan: serving.EnginePlan, endpoint: serving.Endpoint, prompt: serving.Prompt, tookMs: number): void {
     this.#health.recordTime(endpoint.id, plan.predictedMs, tookMs);
     if (plan.copySource !== undefined) return;
-    this.speeds.observeReading(endpoint.role, {
+    this.speeds.learnLocalPrefill(endpoint.role, {
       unreadTokens: plan.unreadTokens,
       cachedTokens: Math.max(0, prompt.promptTokens - plan.unreadTokens),
       tokensWaiting: plan.tokensWaiting,
--- a/packages/gateway/src/endpointLessons.ts
+++ b/packages/gateway/src/endpointLessons.ts
@@ -99,7 +99,7 @@
     if (plan === undefined || prompt === undefined) return;
     // How much a copy brought isn't known: the engine may have had to read all of it.
     if (plan.copySource !== undefined) return;
-    this.#speeds().observeReading(endpoint.role, {
+    this.#speeds().learnLocalPrefill(endpoint.role, {
       unreadTokens: plan.unreadTokens,
       cachedTokens: Math.max(0, prompt.promptTokens - plan.unreadTokens),
       tokensWaiting: plan.tokensWaiting,
--- a/packages/serving/src/engineSpeeds.ts
+++ b/packages/serving/src/engineSpeeds.ts
@@ -90,7 +90,7 @@
    * @param role - the engine's role
    * @param observation - a prompt that was read there
    */
-  observeReading(role: directories.EngineRole, observation: ReadObservation): void {
+  learnLocalPrefill(role: directories.EngineRole, observation: ReadObservation): void {
     this.learnPrefill(role, observation);
     this.#untold.push({ role, observation });
     if (this.#untold.length > MOST_UNTOLD) this.#untold.shift();
