--- a/packages/experiment/src/emulatedDaemon.ts
+++ b/packages/experiment/src/emulatedDaemon.ts
@@ -99,7 +99,7 @@
       routeMs: kind.deadlineMs,
       draw: this.#random.next(),
     };
-    const readingMs = this.speeds.readMs(serving.EngineRole.Prefill, plan.workTokens);
+    const readingMs = this.speeds.prefillMs(serving.EngineRole.Prefill, plan.workTokens);
     this.demand.add(readingMs, request.prompt, this.#parts.time.now);
     const admitted = serving.admitPrompt(plan, placement, limits, this.sizeShares);
     if (admitted.isOk()) this.#read(request, admitted.value, course);
--- a/packages/gateway/src/sendChooser.ts
+++ b/packages/gateway/src/sendChooser.ts
@@ -159,7 +159,7 @@
 
   #noteDemand(plan: serving.EnginePlan, prompt: serving.Prompt): void {
     const { demand, speeds } = this.#context;
-    const readingMs = speeds.of(this.#served.service).readMs(serving.EngineRole.Prefill, plan.workTokens);
+    const readingMs = speeds.of(this.#served.service).prefillMs(serving.EngineRole.Prefill, plan.workTokens);
     demand.add(readingMs, prompt, performance.now());
   }
 
--- a/packages/serving/src/engineSpeeds.ts
+++ b/packages/serving/src/engineSpeeds.ts
@@ -151,7 +151,7 @@
    * @param workTokens - work as {@link EngineSpeeds.workTokens} tells it
    * @returns time that it takes to read, in milliseconds
    */
-  readMs(role: directories.EngineRole, workTokens: number): number {
+  prefillMs(role: directories.EngineRole, workTokens: number): number {
     return (workTokens / TOKENS_IN_UNIT) * this.#msPerUnit(role);
   }
 
--- a/packages/serving/src/placement.ts
+++ b/packages/serving/src/placement.ts
@@ -89,10 +89,10 @@
   const { loads: board, now, maxPauseMs: pauseAimMs, speeds } = inputs;
   const { id, role } = direct.engine;
   const streams = board.runningRequests(id, now);
-  const readMs = speeds.readMs(role, direct.workTokens);
+  const readMs = speeds.prefillMs(role, direct.workTokens);
   // An event of a stream waits for all that is read between its tokens.
   const pauseMs = speeds.pause.baseMs + speeds.pause.perStreamMs * streams;
-  const waitingMs = speeds.readMs(role, board.tokensAhead(id, urgencies.LEAST_URGENT, now));
+  const waitingMs = speeds.prefillMs(role, board.tokensAhead(id, urgencies.LEAST_URGENT, now));
   const lateStreams = pauseMs + waitingMs + readMs > pauseAimMs ? streams : 0;
   return readMs * streams * STREAM_STRAIN + lateStreams * LATE_STREAM_MS;
 }
@@ -145,7 +145,7 @@
   const shared = Math.max(0, inputs.prompt.promptTokens - own);
   const { speeds } = inputs;
   if (candidate.copySource !== undefined) return COPY_ELSEWHERE_WEIGHT * speeds.copyMs(shared);
-  return READ_ELSEWHERE_WEIGHT * speeds.readMs(candidate.engine.role, shared);
+  return READ_ELSEWHERE_WEIGHT * speeds.prefillMs(candidate.engine.role, shared);
 }
 
 /** An engine that keeps the beginning of the prompt. */
@@ -208,7 +208,7 @@
   const workTokens = speeds.workTokens(engine.role, { unreadTokens, cachedTokens });
   const running = board.runningRequests(engine.id, now);
   const slowness = inputs.slowness(engine.id);
-  const ownMs = speeds.fixedMs(engine.role, running) + copyMs + speeds.readMs(engine.role, workTokens);
+  const ownMs = speeds.fixedMs(engine.role, running) + copyMs + speeds.prefillMs(engine.role, workTokens);
   const aloneMs = ownMs * slowness + wayMs(inputs, engine);
   const predictedMs = aloneMs + queueMs(inputs, engine, level) + slotWaitMs(engine, running);
   return {
@@ -228,7 +228,7 @@
 function queueMs(inputs: PlacementInputs, engine: directories.Endpoint, level: number): number {
   const { loads: board, now, speeds } = inputs;
   const tokens = board.tokensAhead(engine.id, level, now) + board.tokensBegun(engine.id, level, now);
-  return speeds.readMs(engine.role, tokens) * inputs.slowness(engine.id);
+  return speeds.prefillMs(engine.role, tokens) * inputs.slowness(engine.id);
 }
 
 /**
@@ -270,7 +270,7 @@
     const running = inputs.loads.runningRequests(engine.id, inputs.now);
     const fullMs = ((1 + running) / engine.slots) * FULL_ENGINE_MS + slotWaitMs(engine, running);
     const aheadTokens = inputs.loads.tokensAhead(engine.id, urgencies.LEAST_URGENT, inputs.now);
-    const aheadMs = inputs.speeds.readMs(engine.role, aheadTokens);
+    const aheadMs = inputs.speeds.prefillMs(engine.role, aheadTokens);
     const homeMs = engine.id === home ? 0 : DECODER_HOME_MS;
     // Waiting prompts slow the tokens of the streams beside them, though not the start of one whose prompt is read.
     const busyMs = (fullMs + aheadMs * WAITING_READS_WEIGHT) * inputs.slowness(engine.id);
--- a/packages/serving/tests/linearEstimate.test.ts
+++ b/packages/serving/tests/linearEstimate.test.ts
@@ -52,7 +52,7 @@
       const work = { unreadTokens, cachedTokens: 4_000 };
       const tokens = speeds.workTokens(serving.EngineRole.Prefill, work);
       const expected =
-        speeds.fixedMs(serving.EngineRole.Prefill, 0) + speeds.readMs(serving.EngineRole.Prefill, tokens);
+        speeds.fixedMs(serving.EngineRole.Prefill, 0) + speeds.prefillMs(serving.EngineRole.Prefill, tokens);
       const error = expected / readingMs(work, { fixedMs, tokensPerMs, pairsMs }) - 1;
       assert.ok(Math.abs(error) < 0.15, `${unreadTokens} tokens: ${(error * 100).toFixed(0)}% off`);
     }
