--- a/packages/experiment/src/experiment.ts
+++ b/packages/experiment/src/experiment.ts
@@ -125,7 +125,7 @@
       name,
       work: board.ownWork(),
       reads: board.takeUnsentReads(),
-      observations: speeds.takeUntold(),
+      observations: speeds.takeUnsentObservations(),
       sizes: sizeShares.takeUntold(),
     }));
     for (const daemon of this.#daemons) {
--- a/packages/gateway/src/peerWork.ts
+++ b/packages/gateway/src/peerWork.ts
@@ -99,7 +99,7 @@
 
   #observationMessages(): messages.ReadObservation[] {
     return [...this.#parts.speeds.all()].flatMap(([service, speeds]) =>
-      speeds.takeUntold().map(({ role, observation }) =>
+      speeds.takeUnsentObservations().map(({ role, observation }) =>
         protobuf.create(messages.ReadObservationSchema, {
           service,
           role,
--- a/packages/serving/src/engineSpeeds.ts
+++ b/packages/serving/src/engineSpeeds.ts
@@ -97,7 +97,7 @@
   }
 
   /** @returns the newest own observations that the peers have not been told of; they are then forgotten */
-  takeUntold(): ToldObservation[] {
+  takeUnsentObservations(): ToldObservation[] {
     const untold = this.#untold;
     this.#untold = [];
     return untold;
