--- a/packages/gateway/src/roleChanger.ts
+++ b/packages/gateway/src/roleChanger.ts
@@ -175,7 +175,7 @@
       token: order.token,
       expectedOrders: order.expectedOrders,
       readingLoad: change.readingLoad.toFixed(2),
-      streamsEach: change.streamsEach.toFixed(1),
+      streamsEach: change.streamsPerEngine.toFixed(1),
       status: status ?? "no answer",
     });
     context.metrics.count("role_orders");
--- a/packages/serving/src/roleBalance.ts
+++ b/packages/serving/src/roleBalance.ts
@@ -8,7 +8,7 @@
   /** Prefill engines that reading keeps busy now. */
   readonly readingLoad: number;
   /** Streams for each decode engine now. */
-  readonly streamsEach: number;
+  readonly streamsPerEngine: number;
 }
 
 /** An engine as the balance sees it. */
@@ -161,7 +161,7 @@
       endpointId: chosen.id,
       role: wanted,
       readingLoad: inputs.readingLoad,
-      streamsEach: streams(decode) / Math.max(1, decode.length),
+      streamsPerEngine: streams(decode) / Math.max(1, decode.length),
     };
   }
 
