--- a/packages/gateway/src/roleChanger.ts
+++ b/packages/gateway/src/roleChanger.ts
@@ -119,7 +119,7 @@
     const seen = `${wanted} ${urgent} ${prefill} ${decode}`;
     if (this.#loggedOutlooks.get(service) === seen) return;
     this.#loggedOutlooks.set(service, seen);
-    const { heldMs, restMs } = outlook;
+    const { heldMs, cooldownMs: restMs } = outlook;
     this.#parts.context.log.info("role-outlook", {
       service,
       wanted,
--- a/packages/serving/src/roleBalance.ts
+++ b/packages/serving/src/roleBalance.ts
@@ -36,7 +36,7 @@
   /** Time for which the same role has been wanted, in milliseconds. */
   readonly heldMs: number;
   /** What is left of the rest after the last change, in milliseconds. */
-  readonly restMs: number;
+  readonly cooldownMs: number;
 }
 
 /** What is known at one moment. */
@@ -148,7 +148,7 @@
     const restUntil = this.#changedAt + (goesOn ? SERIES.restMs : usualRestMs);
     const restLeftMs = decode.length > 0 ? Math.max(0, restUntil - now) : 0;
     const heldMs = now - this.#reasonSince;
-    this.#outlook = { wanted, urgent, prefill: prefill.length, decode: decode.length, heldMs, restMs: restLeftMs };
+    this.#outlook = { wanted, urgent, prefill: prefill.length, decode: decode.length, heldMs, cooldownMs: restLeftMs };
     if (wanted === directories.EngineRole.None) return undefined;
     if (restLeftMs > 0) return undefined;
     const holdsMs = urgent ? URGENT_HOLDS_MS : REASON_HOLDS_MS;
