--- a/packages/experiment/src/experiment.ts
+++ b/packages/experiment/src/experiment.ts
@@ -155,7 +155,7 @@
         readingLoad: this.#daemons.reduce((sum, daemon) => sum + daemon.demand.readingLoad(now), 0),
         eventsPerMs: this.#daemons.reduce((sum, daemon) => sum + daemon.demand.eventsPerMs(now), 0),
         speeds: first.speeds,
-        streamsInMemory: this.#description.engines.memoryTokens / (first.demand.meanPromptTokens(now) ?? 1),
+        streamCapacity: this.#description.engines.memoryTokens / (first.demand.meanPromptTokens(now) ?? 1),
         now,
       });
       if (change !== undefined) this.#change(change);
--- a/packages/gateway/src/roleChanger.ts
+++ b/packages/gateway/src/roleChanger.ts
@@ -106,7 +106,7 @@
       readingLoad: this.#parts.readingLoad(),
       eventsPerMs: this.#parts.eventsPerMs(),
       speeds: speeds.of(service),
-      streamsInMemory: limits.memoryTokens / Math.max(1, demand.meanPromptTokens(now) ?? 1),
+      streamCapacity: limits.memoryTokens / Math.max(1, demand.meanPromptTokens(now) ?? 1),
       now,
     });
   }
--- a/packages/serving/src/roleBalance.ts
+++ b/packages/serving/src/roleBalance.ts
@@ -49,7 +49,7 @@
   /** How fast the engines work. */
   readonly speeds: Pick<engineSpeeds.EngineSpeeds, "pause" | "decodeReadingShare">;
   /** Streams for which one engine has memory. */
-  readonly streamsInMemory: number;
+  readonly streamCapacity: number;
   readonly now: number;
 }
 
@@ -166,7 +166,7 @@
   }
 
   #load(inputs: BalanceInputs, decode: readonly BalancedEngine[]): Load {
-    const { readingLoad, speeds, streamsInMemory, now } = inputs;
+    const { readingLoad, speeds, streamCapacity: streamsInMemory, now } = inputs;
     const slots = Math.max(1, Math.min(streamsInMemory, ...decode.map((engine) => engine.slots)));
     const { pause, decodeReadingShare } = speeds;
     const running = decode.length === 0 ? 0 : eventRate(decode, pause);
--- a/packages/serving/tests/roleBalance.test.ts
+++ b/packages/serving/tests/roleBalance.test.ts
@@ -136,7 +136,7 @@
       readingLoad: 9.5,
       eventsPerMs: 0,
       speeds: SPEEDS,
-      streamsInMemory: 100,
+      streamCapacity: 100,
       now,
     });
     const changed = fleet.find((engine) => engine.id === change?.endpointId);
