--- a/packages/experiment/src/experiment.ts
+++ b/packages/experiment/src/experiment.ts
@@ -166,7 +166,7 @@
   #change(change: serving.RoleChange): void {
     this.#engines.find((engine) => engine.id === change.endpointId)?.change(change.role);
     this.#rolesToCome.set(change.endpointId, change.role);
-    this.#balance.changed(this.#time.now, change.role);
+    this.#balance.recordChange(this.#time.now, change.role);
     this.#roleChanges++;
   }
 }
--- a/packages/gateway/src/roleChanger.ts
+++ b/packages/gateway/src/roleChanger.ts
@@ -65,7 +65,7 @@
    * @param agoMs - how long ago it was made, in milliseconds
    */
   changed(service: string, role: serving.EngineRole, agoMs: number): void {
-    this.#balance(service).changed(performance.now() - agoMs, role);
+    this.#balance(service).recordChange(performance.now() - agoMs, role);
   }
 
   /** @param endpointId - an endpoint that is gone */
--- a/packages/serving/src/roleBalance.ts
+++ b/packages/serving/src/roleBalance.ts
@@ -118,7 +118,7 @@
    * @param now - instant at which a change, here or at another daemon, was made, in milliseconds
    * @param role - the engine's role to come, if it is known
    */
-  changed(now: number, role = directories.EngineRole.None): void {
+  recordChange(now: number, role = directories.EngineRole.None): void {
     if (now >= this.#changedAt) this.#changedTo = role;
     this.#changedAt = Math.max(this.#changedAt, now);
     this.putOff();
--- a/packages/serving/tests/roleBalance.test.ts
+++ b/packages/serving/tests/roleBalance.test.ts
@@ -62,7 +62,7 @@
 // The mix swings every few seconds. Each change takes an engine away, so the next one has to wait.
 suite("a change rests, also one that another daemon made", () => {
   const balance = new serving.RoleBalance();
-  balance.changed(0);
+  balance.recordChange(0);
   assert.is(run(balance, { engines: engines(2, 4, 10), readTokensPerMs: 166 }, 0, 8_900), undefined);
   assert.is(
     run(balance, { engines: engines(2, 4, 10), readTokensPerMs: 166 }, 8_900, 12_000)?.role,
@@ -74,7 +74,7 @@
 // with one decode engine for 20 s, and 433 prompts were turned away.
 suite("a change that is long past asks for no rest", () => {
   const balance = new serving.RoleBalance();
-  balance.changed(-60_000);
+  balance.recordChange(-60_000);
   const change = run(balance, { engines: engines(2, 1, 52), readTokensPerMs: 160 }, 0, 2_000);
   assert.is(change?.role, serving.EngineRole.Decode);
 });
@@ -90,7 +90,7 @@
 // left, while three engines read prompts that nobody can go on with for the rest of nine seconds.
 suite("streams that have outgrown the decode engines don't wait for the rest", () => {
   const balance = new serving.RoleBalance();
-  balance.changed(0);
+  balance.recordChange(0);
   const inputs = { engines: engines(3, 2, 70), readTokensPerMs: 140 };
   const change = run(balance, inputs, 0, 4_500);
   assert.is(change?.role, serving.EngineRole.Decode);
@@ -114,7 +114,7 @@
 
 suite("a fleet without any decode engine gets one, without rest", () => {
   const balance = new serving.RoleBalance();
-  balance.changed(0);
+  balance.recordChange(0);
   const change = run(balance, { engines: engines(3, 0, 0), readTokensPerMs: 10 }, 0, 5_000);
   assert.is(change?.role, serving.EngineRole.Decode);
 });
@@ -142,7 +142,7 @@
     const changed = fleet.find((engine) => engine.id === change?.endpointId);
     if (change === undefined || changed === undefined) continue;
     Object.assign(changed, { role: change.role, backAt: now + AWAY_MS, running: 0 });
-    balance.changed(now, change.role);
+    balance.recordChange(now, change.role);
   }
   const prefill = fleet.filter((engine) => engine.role === serving.EngineRole.Prefill).length;
   assert.ok(prefill >= 9, `${prefill} prefill engines`);
@@ -153,7 +153,7 @@
 // first change was for a mix that is long past.
 suite("a burst changes nothing either if the last change was to the same role, long ago", () => {
   const balance = new serving.RoleBalance();
-  balance.changed(0, serving.EngineRole.Prefill);
+  balance.recordChange(0, serving.EngineRole.Prefill);
   assert.is(run(balance, { engines: engines(2, 4, 10), readTokensPerMs: 166 }, 30_000, 31_000), undefined);
 });
 
@@ -161,10 +161,10 @@
 suite("a change of mind rests though changes to the same role don't", () => {
   const inputs = { engines: engines(2, 4, 10), readTokensPerMs: 166 };
   const again = new serving.RoleBalance();
-  again.changed(0, serving.EngineRole.Prefill);
+  again.recordChange(0, serving.EngineRole.Prefill);
   assert.is(run(again, inputs, 0, 2_000)?.role, serving.EngineRole.Prefill);
   const back = new serving.RoleBalance();
-  back.changed(0, serving.EngineRole.Decode);
+  back.recordChange(0, serving.EngineRole.Decode);
   assert.is(run(back, inputs, 0, 8_900), undefined);
 });
 
