--- a/packages/experiment/src/emulatedDaemon.ts
+++ b/packages/experiment/src/emulatedDaemon.ts
@@ -108,7 +108,7 @@
 
   #turnAway(course: RequestCourse, rejection: serving.Rejection): void {
     const { comeBack, time } = this.#parts;
-    const { returnAfterMs } = rejection;
+    const { retryAfterMs: returnAfterMs } = rejection;
     if (!course.mayReturn || returnAfterMs > course.remainingMs * LONGEST_RETURN_SHARE) {
       course.end(outcomes.Ending.Refused);
       return;
--- a/packages/gateway/src/sendChooser.ts
+++ b/packages/gateway/src/sendChooser.ts
@@ -148,7 +148,7 @@
     this.#noteDemand(placed, prompt);
     const admitted = this.#admit(placed, inputs);
     if (admitted.isErr()) {
-      return neverthrow.err({ reason: "overloaded", returnAfterMs: admitted.error.returnAfterMs });
+      return neverthrow.err({ reason: "overloaded", returnAfterMs: admitted.error.retryAfterMs });
     }
     const plan = admitted.value;
     const reader = plan.prefillEngine ?? plan.decodeEngine;
@@ -198,7 +198,7 @@
       ahead: Math.round(plan.tokensAhead),
       takenOfSize: shares.ofSize.toFixed(2),
       takenOfAll: shares.ofAll.toFixed(2),
-      returnAfterMs: Math.round(rejection.returnAfterMs),
+      returnAfterMs: Math.round(rejection.retryAfterMs),
     });
   }
 
--- a/packages/serving/src/admission.ts
+++ b/packages/serving/src/admission.ts
@@ -21,7 +21,7 @@
 /** A request that is turned away. */
 export interface Rejection {
   /** Time after which there is room, in milliseconds. */
-  readonly returnAfterMs: number;
+  readonly retryAfterMs: number;
 }
 
 /**
@@ -95,7 +95,7 @@
 function rejectionOf(inputs: AdmissionInputs): Rejection {
   const excessMs = inputs.predictedMs - inputs.patienceMs * COMFORTABLE_PART;
   const baseMs = Math.max(RETURN_MS.least, Math.min(RETURN_MS.most, excessMs));
-  return { returnAfterMs: baseMs * (1 + inputs.draw * SPREAD) };
+  return { retryAfterMs: baseMs * (1 + inputs.draw * SPREAD) };
 }
 
 /** Shortest time after which callers give up a stream that stalls, in milliseconds. */
--- a/packages/serving/tests/admission.test.ts
+++ b/packages/serving/tests/admission.test.ts
@@ -99,8 +99,8 @@
     remainingMs: 8_000,
     routeMs: 8_000,
   };
-  const first = serving.judgeAdmission({ ...inputs, draw: 0 })?.returnAfterMs ?? 0;
-  const last = serving.judgeAdmission({ ...inputs, draw: 0.99 })?.returnAfterMs ?? 0;
+  const first = serving.judgeAdmission({ ...inputs, draw: 0 })?.retryAfterMs ?? 0;
+  const last = serving.judgeAdmission({ ...inputs, draw: 0.99 })?.retryAfterMs ?? 0;
   assert.ok(first > 0 && last > 1.3 * first);
 });
 
