--- a/packages/serving/src/admission.ts
+++ b/packages/serving/src/admission.ts
@@ -9,7 +9,7 @@
   /** Whether the prediction rests on prompts that were read, and not on priors that may be wrong by ten. */
   readonly isLearned: boolean;
   /** Time after which the caller gives a stream up that has not begun. */
-  readonly patienceMs: number;
+  readonly callerTimeoutMs: number;
   /** What is left of the caller's deadline and the route's timeout. */
   readonly remainingMs: number;
   /** Longest time that the route lets a caller wait. */
@@ -75,12 +75,12 @@
 export function judgeAdmission(inputs: AdmissionInputs): Rejection | undefined {
   // The first prompts after a start are what predictions are learned from.
   if (!inputs.isLearned) {
-    const unsureMs = Math.min(inputs.patienceMs * UNSURE_MULTIPLE, inputs.remainingMs);
+    const unsureMs = Math.min(inputs.callerTimeoutMs * UNSURE_MULTIPLE, inputs.remainingMs);
     return inputs.predictedMs <= unsureMs ? undefined : rejectionOf(inputs);
   }
-  const longMs = inputs.unloadedMs + inputs.patienceMs * LONG_WAIT_PART;
-  const usualMs = inputs.patienceMs * (hasComeBack(inputs) ? RETURNED_PART : PATIENCE_PART);
-  const limitMs = Math.min(Math.max(usualMs, longMs), inputs.patienceMs, inputs.remainingMs);
+  const longMs = inputs.unloadedMs + inputs.callerTimeoutMs * LONG_WAIT_PART;
+  const usualMs = inputs.callerTimeoutMs * (hasComeBack(inputs) ? RETURNED_PART : PATIENCE_PART);
+  const limitMs = Math.min(Math.max(usualMs, longMs), inputs.callerTimeoutMs, inputs.remainingMs);
   return inputs.predictedMs <= limitMs ? undefined : rejectionOf(inputs);
 }
 
@@ -93,7 +93,7 @@
 }
 
 function rejectionOf(inputs: AdmissionInputs): Rejection {
-  const excessMs = inputs.predictedMs - inputs.patienceMs * COMFORTABLE_PART;
+  const excessMs = inputs.predictedMs - inputs.callerTimeoutMs * COMFORTABLE_PART;
   const baseMs = Math.max(RETURN_MS.least, Math.min(RETURN_MS.most, excessMs));
   return { retryAfterMs: baseMs * (1 + inputs.draw * SPREAD) };
 }
--- a/packages/serving/tests/promptAdmission.test.ts
+++ b/packages/serving/tests/promptAdmission.test.ts
@@ -17,7 +17,7 @@
 const LIMITS: serving.PromptLimits = {
   kind: KIND,
   isLearned: true,
-  patienceMs: 2_400,
+  callerTimeoutMs: 2_400,
   remainingMs: 5_000,
   routeMs: 5_000,
   draw: 0,
