--- a/packages/experiment/src/emulatedDaemon.ts
+++ b/packages/experiment/src/emulatedDaemon.ts
@@ -94,7 +94,7 @@
     const limits = {
       kind: kind.name,
       isLearned: this.speeds.isLearned((plan.prefillEngine ?? plan.decodeEngine).role),
-      patienceMs: serving.streamPatienceMs(kind.objectiveMs, kind.pauseMs),
+      patienceMs: serving.streamCallerTimeoutMs(kind.objectiveMs, kind.pauseMs),
       remainingMs: course.remainingMs,
       routeMs: kind.deadlineMs,
       draw: this.#random.next(),
@@ -275,7 +275,7 @@
   #wait(): void {
     const tried = this.#tries;
     const { objectiveMs, pauseMs } = this.request.kind;
-    const patienceMs = Math.min(this.remainingMs, serving.streamPatienceMs(objectiveMs, pauseMs));
+    const patienceMs = Math.min(this.remainingMs, serving.streamCallerTimeoutMs(objectiveMs, pauseMs));
     this.#time.after(patienceMs, () => {
       if (this.#over || this.#firstMs !== undefined || this.#tries !== tried) return;
       this.onLeft();
--- a/packages/gateway/src/sendChooser.ts
+++ b/packages/gateway/src/sendChooser.ts
@@ -174,7 +174,7 @@
     const limits: serving.PromptLimits = {
       kind: route.name,
       isLearned: speeds.of(this.#served.service).isLearned((plan.prefillEngine ?? plan.decodeEngine).role),
-      callerTimeoutMs: serving.streamPatienceMs(route.objectiveMs, route.pauseMs),
+      callerTimeoutMs: serving.streamCallerTimeoutMs(route.objectiveMs, route.pauseMs),
       remainingMs,
       routeMs: route.timeoutMs,
       draw: random.next(),
--- a/packages/serving/src/admission.ts
+++ b/packages/serving/src/admission.ts
@@ -110,6 +110,6 @@
  * @param pauseMs - longest pause between events that is in time
  * @returns time after which callers give up a stream that stalls, in milliseconds
  */
-export function streamPatienceMs(objectiveMs: number, pauseMs: number): number {
+export function streamCallerTimeoutMs(objectiveMs: number, pauseMs: number): number {
   return Math.max(LEAST_PATIENCE_MS, PATIENCE_OBJECTIVES * objectiveMs, PATIENCE_PAUSES * pauseMs);
 }
