--- a/packages/experiment/src/emulatedEngine.ts
+++ b/packages/experiment/src/emulatedEngine.ts
@@ -119,7 +119,7 @@
    */
   takeOver(prompt: serving.Prompt, onTaken: () => void): void {
     this.#time.after(this.#copyMs(prompt.promptTokens), () => {
-      this.#memory.read(prompt);
+      this.#memory.addPrompt(prompt);
       onTaken();
     });
   }
@@ -177,7 +177,7 @@
     const copyMs = this.#copy(job);
     const workMs = this.#workMs(job.prompt);
     this.#countRead(job.prompt);
-    this.#memory.read(job.prompt);
+    this.#memory.addPrompt(job.prompt);
     this.#time.after((copyMs + workMs) * this.slowness, () => {
       this.#time.after(this.#figures.fixedMs * this.slowness, job.onRead);
       this.#readNext();
--- a/packages/serving/src/engineLoadTracker.ts
+++ b/packages/serving/src/engineLoadTracker.ts
@@ -191,7 +191,7 @@
    * @param isRead - whether it has read it already
    */
   noteCachedPrompt(endpointId: string, memoryTokens: number, prompt: promptParts.Prompt, isRead = false): void {
-    this.cache(endpointId, memoryTokens).read(prompt, isRead);
+    this.cache(endpointId, memoryTokens).addPrompt(prompt, isRead);
     const { model, parts } = prompt;
     for (const part of parts) this.#untoldReads.push({ endpointId, model, part, isRead });
     if (this.#untoldReads.length > MOST_UNTOLD_READS) this.#untoldReads = this.#untoldReads.slice(-MOST_UNTOLD_READS);
--- a/packages/serving/src/promptParts.ts
+++ b/packages/serving/src/promptParts.ts
@@ -45,7 +45,7 @@
    * @param prompt - a prompt that the engine reads
    * @param isRead - whether it has read it already
    */
-  read(prompt: Prompt, isRead = true): void {
+  addPrompt(prompt: Prompt, isRead = true): void {
     for (const part of prompt.parts) this.readPart(prompt.model, part, isRead);
   }
 
