--- a/packages/experiment/src/emulatedEngine.ts
+++ b/packages/experiment/src/emulatedEngine.ts
@@ -191,7 +191,7 @@
     let begin = 0;
     for (const part of prompt.parts) {
       begin += part.tokens;
-      if (begin <= copySource.keptTokens(prompt)) this.#memory.readPart(prompt.model, part);
+      if (begin <= copySource.keptTokens(prompt)) this.#memory.addPart(prompt.model, part);
     }
     return this.#copyMs(copied);
   }
--- a/packages/serving/src/engineLoadTracker.ts
+++ b/packages/serving/src/engineLoadTracker.ts
@@ -213,7 +213,7 @@
    * @param read - a part that an engine was given by a peer
    */
   notePeerRead(read: PartRead): void {
-    this.#states.get(read.endpointId)?.cache?.readPart(read.model, read.part, read.isRead);
+    this.#states.get(read.endpointId)?.cache?.addPart(read.model, read.part, read.isRead);
   }
 
   /**
--- a/packages/serving/src/promptParts.ts
+++ b/packages/serving/src/promptParts.ts
@@ -46,7 +46,7 @@
    * @param isRead - whether it has read it already
    */
   addPrompt(prompt: Prompt, isRead = true): void {
-    for (const part of prompt.parts) this.readPart(prompt.model, part, isRead);
+    for (const part of prompt.parts) this.addPart(prompt.model, part, isRead);
   }
 
   /**
@@ -54,7 +54,7 @@
    * @param part - a part that the engine reads for it
    * @param isRead - whether it has read it already
    */
-  readPart(model: string, part: PromptPart, isRead = true): void {
+  addPart(model: string, part: PromptPart, isRead = true): void {
     if (part.tokens <= 0) return;
     const key = cacheKey(model, part.id);
     const wasRead = this.#parts.get(key)?.isRead === true;
