--- a/packages/gateway/src/sendChooser.ts
+++ b/packages/gateway/src/sendChooser.ts
@@ -187,7 +187,7 @@
 
   #logTurnedAway(plan: serving.EnginePlan, limits: serving.PromptLimits, rejection: serving.Rejection): void {
     const tokens = this.#served.caller.headers.prompt?.promptTokens ?? 0;
-    const shares = this.#context.sizeShares.taken(limits.kind, tokens, performance.now());
+    const shares = this.#context.sizeShares.acceptanceRates(limits.kind, tokens, performance.now());
     this.#context.log.info("turned-away", {
       id: this.#served.id,
       predictedMs: Math.round(plan.predictedMs),
--- a/packages/serving/src/acceptanceTracker.ts
+++ b/packages/serving/src/acceptanceTracker.ts
@@ -107,7 +107,7 @@
    * @returns whether prompts of that size are taken much less often than all of the kind
    */
   isBehind(kind: string, promptTokens: number, now: number): boolean {
-    const { ofSize, ofAll } = this.taken(kind, promptTokens, now);
+    const { ofSize, ofAll } = this.acceptanceRates(kind, promptTokens, now);
     return ofSize < leastPart(ofAll) * ofAll;
   }
 
@@ -117,7 +117,7 @@
    * @param now - current instant in milliseconds
    * @returns shares of those offered that were taken lately
    */
-  taken(kind: string, promptTokens: number, now: number): TakenShares {
+  acceptanceRates(kind: string, promptTokens: number, now: number): TakenShares {
     const [whole, size] = this.#countsOf(kind, sizeOf(promptTokens), now);
     const ofAll = whole.offered === 0 ? 1 : Math.min(1, whole.taken / whole.offered);
     return { ofAll, ofSize: (size.taken + PRIOR_REQUESTS * ofAll) / (size.offered + PRIOR_REQUESTS) };
