--- a/packages/experiment/src/experiment.ts
+++ b/packages/experiment/src/experiment.ts
@@ -126,7 +126,7 @@
       work: board.ownWork(),
       reads: board.takeUnsentReads(),
       observations: speeds.takeUnsentObservations(),
-      sizes: sizeShares.takeUntold(),
+      sizes: sizeShares.takeUnsentCounts(),
     }));
     for (const daemon of this.#daemons) {
       for (const { name, work, reads, observations, sizes } of said) {
--- a/packages/gateway/src/peerWork.ts
+++ b/packages/gateway/src/peerWork.ts
@@ -60,7 +60,7 @@
       ),
       reads: this.#readMessages(),
       observations: this.#observationMessages(),
-      sizes: this.#parts.sizeShares.takeUntold().map((count) => protobuf.create(messages.SizeCountSchema, count)),
+      sizes: this.#parts.sizeShares.takeUnsentCounts().map((count) => protobuf.create(messages.SizeCountSchema, count)),
       readingLoadThousandths: wholeNumber(demand.readingLoad(now) * THOUSANDTHS),
       eventsPerSecond: wholeNumber(demand.eventsPerMs(now) * MS_PER_SECOND),
     };
--- a/packages/serving/src/acceptanceTracker.ts
+++ b/packages/serving/src/acceptanceTracker.ts
@@ -83,7 +83,7 @@
   }
 
   /** @returns what the peers have not been told; it is then forgotten */
-  takeUntold(): SizeCount[] {
+  takeUnsentCounts(): SizeCount[] {
     const untold = [...this.#untold.values()];
     this.#untold = new Map();
     return untold;
