--- a/packages/experiment/src/experiment.ts
+++ b/packages/experiment/src/experiment.ts
@@ -133,7 +133,7 @@
         if (name === daemon.name) continue;
         daemon.board.updatePeerWork(name, work, now);
         for (const read of reads) daemon.board.notePeerRead(read);
-        for (const count of sizes) daemon.sizeShares.hear(count, now);
+        for (const count of sizes) daemon.sizeShares.addPeerCount(count, now);
         for (const { role, observation } of observations) daemon.speeds.learnPrefill(role, observation);
       }
     }
--- a/packages/gateway/src/peerWork.ts
+++ b/packages/gateway/src/peerWork.ts
@@ -80,7 +80,7 @@
       board.notePeerRead({ endpointId: endpoint, model, part: { id: part, tokens }, isRead });
     }
     this.#learn(pulse.observations);
-    for (const count of pulse.sizes) this.#parts.sizeShares.hear(count, now);
+    for (const count of pulse.sizes) this.#parts.sizeShares.addPeerCount(count, now);
   }
 
   #readMessages(): messages.PartRead[] {
--- a/packages/serving/src/acceptanceTracker.ts
+++ b/packages/serving/src/acceptanceTracker.ts
@@ -93,7 +93,7 @@
    * @param count - prompts of a peer's callers
    * @param now - current instant in milliseconds
    */
-  hear(count: SizeCount, now: number): void {
+  addPeerCount(count: SizeCount, now: number): void {
     for (const each of this.#countsOf(count.kind, count.size, now)) {
       each.offered += count.offered;
       each.taken += count.taken;
@@ -124,7 +124,7 @@
   }
 
   #note(count: SizeCount, now: number): void {
-    this.hear(count, now);
+    this.addPeerCount(count, now);
     const key = keyOf(count.kind, count.size);
     const before = this.#untold.get(key);
     const offered = count.offered + (before?.offered ?? 0);
