--- a/packages/gateway/src/exchange.ts
+++ b/packages/gateway/src/exchange.ts
@@ -65,7 +65,7 @@
     const onTime = (): unknown => setImmediate(() => this.#onDeadline());
     this.#deadlineTimer = setTimeout(onTime, Math.max(0, this.#served.remainingMs));
     this.#served.chooseService();
-    this.#context.budgets.of(this.#served.service).request(performance.now());
+    this.#context.budgets.of(this.#served.service).noteRequest(performance.now());
     this.#course.sendNext();
   }
 
--- a/packages/serving/src/retryBudget.ts
+++ b/packages/serving/src/retryBudget.ts
@@ -39,7 +39,7 @@
   }
 
   /** @param now - instant at which a request for the service came, in milliseconds */
-  request(now: number): void {
+  noteRequest(now: number): void {
     this.#requests.push(now);
   }
 
--- a/packages/serving/tests/retryBudget.test.ts
+++ b/packages/serving/tests/retryBudget.test.ts
@@ -20,7 +20,7 @@
       const repeats: number[] = [];
       for (let now = 0; now < 30_000; now += everyMs) {
         for (const budget of budgets) {
-          budget.request(now);
+          budget.noteRequest(now);
           requests.push(now);
           if (budget.spend(now, daemons)) repeats.push(now);
         }
@@ -39,7 +39,7 @@
 suite("a daemon that has just started has only the ratio of its own requests", () => {
   const budget = new serving.SharedRetryBudget(BOUNDS, 0);
   assert.not.ok(budget.spend(10, 8));
-  for (let index = 0; index < 10; index++) budget.request(20);
+  for (let index = 0; index < 10; index++) budget.noteRequest(20);
   assert.ok(budget.spend(30, 8));
   assert.not.ok(budget.spend(40, 8));
 });
