--- a/packages/experiment/src/emulatedDaemon.ts
+++ b/packages/experiment/src/emulatedDaemon.ts
@@ -94,7 +94,7 @@
     const limits = {
       kind: kind.name,
       isLearned: this.speeds.isLearned((plan.prefillEngine ?? plan.decodeEngine).role),
-      patienceMs: serving.streamCallerTimeoutMs(kind.objectiveMs, kind.pauseMs),
+      callerTimeoutMs: serving.streamCallerTimeoutMs(kind.objectiveMs, kind.pauseMs),
       remainingMs: course.remainingMs,
       routeMs: kind.deadlineMs,
       draw: this.#random.next(),
--- a/packages/serving/src/promptAdmission.ts
+++ b/packages/serving/src/promptAdmission.ts
@@ -4,7 +4,7 @@
 import type * as sizeShares from "./acceptanceTracker.js";
 
 /** What is known of the request whose prompt is to be read. */
-export interface PromptLimits extends Omit<admissions.AdmissionInputs, "predictedMs" | "aloneMs"> {
+export interface PromptLimits extends Omit<admissions.AdmissionInputs, "predictedMs" | "unloadedMs"> {
   /** Name of its kind. */
   readonly kind: string;
 }
--- a/packages/serving/tests/roleBalance.test.ts
+++ b/packages/serving/tests/roleBalance.test.ts
@@ -39,7 +39,7 @@
 ): serving.RoleChange | undefined {
   const readingLoad = inputs.readTokensPerMs / PREFILL_TOKENS_PER_MS;
   for (let now = fromMs; now < toMs; now += 250) {
-    const known = { engines: inputs.engines, readingLoad, eventsPerMs: 0, speeds: SPEEDS, streamsInMemory: 100 };
+    const known = { engines: inputs.engines, readingLoad, eventsPerMs: 0, speeds: SPEEDS, streamCapacity: 100 };
     const change = balance.decide({ ...known, now });
     if (change !== undefined) return change;
   }
