--- a/packages/serving/src/acceptanceTracker.ts
+++ b/packages/serving/src/acceptanceTracker.ts
@@ -1,30 +1,30 @@
-/** How often prompts of each size are taken, beside all of their kind. */
+/** How often prompts of each size are accepted, compared with all prompts of their kind. */
 
-/** Time in which what was seen counts half as much, in milliseconds: a shortage lasts for some seconds. */
+/** Half-life of the counts, in milliseconds: a shortage lasts for some seconds. */
 const HALF_LIFE_MS = 8_000;
 
 /**
- * Part of the whole kind's share that each size should be taken at least. Users ask for half of it for the largest tenth;
- * the fewer are taken, the more the prompts of one size differ among each other, so it rises with the shortage.
+ * Minimum acceptance rate of each size, as a part of the whole kind's rate. Users ask for half of it for the largest
+ * tenth. It rises with the shortage, as the prompts within one size differ more from each other when fewer are accepted.
  */
-const LEAST_PART = { usual: 0.65, deep: 0.77 };
+const MIN_PART = { usual: 0.65, severe: 0.77 };
 
-/** Shares of the whole kind taken between which that part rises. */
-const SHORTAGE = { begins: 0.8, deep: 0.6 };
+/** Acceptance rates of the whole kind between which that part rises. */
+const SHORTAGE = { begins: 0.8, severe: 0.6 };
 
-/** Weight of the whole kind's share beside what was seen of a size, in requests: of a few, chance decides. */
+/** Weight of the whole kind's rate in that of a size, in requests: the rate of a few requests is mostly chance. */
 const PRIOR_REQUESTS = 3;
 
-/** Least number of counts from which those that have faded are dropped. */
-const MANY_COUNTS = 1_000;
+/** Number of counts from which expired ones are deleted. */
+const MIN_COUNTS_TO_PRUNE = 1_000;
 
-/** Time after which a count that nothing was added to says nothing, in milliseconds: a thousandth of it is left. */
-const FADED_MS = 10 * HALF_LIFE_MS;
+/** Time after which a count without additions is negligible, in milliseconds: a thousandth of it is left. */
+const EXPIRY_MS = 10 * HALF_LIFE_MS;
 
-/** Shares of the prompts offered that were taken. */
-export interface TakenShares {
+/** Shares of the offered prompts that were accepted. */
+export interface AcceptanceRates {
   readonly ofAll: number;
-  /** Of those of one size; of few prompts it is drawn to the share of all. */
+  /** Rate of one size; with few prompts it is drawn towards the rate of all. */
   readonly ofSize: number;
 }
 
@@ -35,33 +35,34 @@
   countedAt: number;
 }
 
-/** Prompts of one size, as daemons tell each other of them. */
+/** Prompts of one size, as daemons report them to each other. */
 export interface SizeCount {
   /** Name of the kind of request. */
   readonly kind: string;
-  /** Binary logarithm of the prompts' length. */
+  /** Binary logarithm of the prompts' length in tokens. */
   readonly size: number;
-  /** Those that callers have brought; one that comes back after it was turned away counts once. */
+  /** Prompts that callers sent; one that is sent again after a rejection counts once. */
   readonly offered: number;
-  /** Those that were taken. */
+  /** Prompts that were accepted. */
   readonly taken: number;
 }
 
 /**
- * The load it answers: a shortage. Each prompt is judged by what goes before it, and smaller ones do, so all that is
- * turned away are the largest, however many smaller ones cause the shortage with them. This tells when a size is
- * taken much less often than the whole kind. Daemons tell each other what they count: each alone sees a handful of the
- * largest, and would not notice.
+ * Detects prompt sizes that are accepted much less often than the whole kind. In a
+ * shortage, each prompt is checked against the work ahead of it, and smaller
+ * prompts go ahead, so that only the largest are rejected, however many smaller
+ * ones cause the shortage with them. Daemons share their counts: each of them sees
+ * too few of the largest prompts to notice alone.
  */
 export class AcceptanceTracker {
   readonly #counts = new Map<string, Count>();
-  /** Counts from which those that have faded are dropped. */
-  #dropFrom = MANY_COUNTS;
-  #untold = new Map<string, SizeCount>();
+  /** Number of counts at which expired ones are deleted. */
+  #pruneAt = MIN_COUNTS_TO_PRUNE;
+  #unsent = new Map<string, SizeCount>();
 
   /**
    * @param kind - name of the kind of request
-   * @param promptTokens - length of a prompt that a caller has brought
+   * @param promptTokens - length of a prompt that a caller sent
    * @param now - current instant in milliseconds
    */
   noteOffered(kind: string, promptTokens: number, now: number): void {
@@ -70,23 +71,23 @@
 
   /**
    * @param kind - name of the kind of request
-   * @param promptTokens - length of a prompt that was taken
+   * @param promptTokens - length of a prompt that was accepted
    * @param now - current instant in milliseconds
    */
-  noteTaken(kind: string, promptTokens: number, now: number): void {
+  noteAccepted(kind: string, promptTokens: number, now: number): void {
     this.#note({ kind, size: sizeOf(promptTokens), offered: 0, taken: 1 }, now);
   }
 
-  /** @returns how many counts are kept */
+  /** @returns the number of counts in memory */
   get countsKept(): number {
     return this.#counts.size;
   }
 
-  /** @returns what the peers have not been told; it is then forgotten */
+  /** @returns counts that were not yet sent to the peers; they are removed here */
   takeUnsentCounts(): SizeCount[] {
-    const untold = [...this.#untold.values()];
-    this.#untold = new Map();
-    return untold;
+    const unsent = [...this.#unsent.values()];
+    this.#unsent = new Map();
+    return unsent;
   }
 
   /**
@@ -104,20 +105,20 @@
    * @param kind - name of the kind of request
    * @param promptTokens - length of a prompt
    * @param now - current instant in milliseconds
-   * @returns whether prompts of that size are taken much less often than all of the kind
+   * @returns whether prompts of that size are accepted much less often than all of the kind
    */
-  isBehind(kind: string, promptTokens: number, now: number): boolean {
+  isUnderserved(kind: string, promptTokens: number, now: number): boolean {
     const { ofSize, ofAll } = this.acceptanceRates(kind, promptTokens, now);
-    return ofSize < leastPart(ofAll) * ofAll;
+    return ofSize < minPart(ofAll) * ofAll;
   }
 
   /**
    * @param kind - name of the kind of request
    * @param promptTokens - length of a prompt
    * @param now - current instant in milliseconds
-   * @returns shares of those offered that were taken lately
+   * @returns recent acceptance rates of the kind and of that size
    */
-  acceptanceRates(kind: string, promptTokens: number, now: number): TakenShares {
+  acceptanceRates(kind: string, promptTokens: number, now: number): AcceptanceRates {
     const [whole, size] = this.#countsOf(kind, sizeOf(promptTokens), now);
     const ofAll = whole.offered === 0 ? 1 : Math.min(1, whole.taken / whole.offered);
     return { ofAll, ofSize: (size.taken + PRIOR_REQUESTS * ofAll) / (size.offered + PRIOR_REQUESTS) };
@@ -126,19 +127,19 @@
   #note(count: SizeCount, now: number): void {
     this.addPeerCount(count, now);
     const key = keyOf(count.kind, count.size);
-    const before = this.#untold.get(key);
+    const before = this.#unsent.get(key);
     const offered = count.offered + (before?.offered ?? 0);
-    this.#untold.set(key, { ...count, offered, taken: count.taken + (before?.taken ?? 0) });
+    this.#unsent.set(key, { ...count, offered, taken: count.taken + (before?.taken ?? 0) });
   }
 
   #countsOf(kind: string, size: number, now: number): [whole: Count, size: Count] {
-    return [this.#count(kind, now), this.#count(keyOf(kind, size), now)];
+    return [this.#decayedCount(kind, now), this.#decayedCount(keyOf(kind, size), now)];
   }
 
-  #count(key: string, now: number): Count {
+  #decayedCount(key: string, now: number): Count {
     let count = this.#counts.get(key);
     if (count === undefined) {
-      if (this.#counts.size >= this.#dropFrom) this.#dropFaded(now);
+      if (this.#counts.size >= this.#pruneAt) this.#prune(now);
       count = { offered: 0, taken: 0, countedAt: now };
       this.#counts.set(key, count);
     }
@@ -149,19 +150,19 @@
     return count;
   }
 
-  /** Kinds come and go with each configuration: kept for ever, those of all days would fill the memory. */
-  #dropFaded(now: number): void {
-    for (const [key, { countedAt }] of this.#counts) if (now - countedAt > FADED_MS) this.#counts.delete(key);
-    this.#dropFrom = Math.max(MANY_COUNTS, 2 * this.#counts.size);
+  /** Deletes expired counts: kinds come and go with each configuration, and would accumulate in memory otherwise. */
+  #prune(now: number): void {
+    for (const [key, { countedAt }] of this.#counts) if (now - countedAt > EXPIRY_MS) this.#counts.delete(key);
+    this.#pruneAt = Math.max(MIN_COUNTS_TO_PRUNE, 2 * this.#counts.size);
   }
 }
 
-function leastPart(ofAll: number): number {
-  const depth = (SHORTAGE.begins - ofAll) / (SHORTAGE.begins - SHORTAGE.deep);
-  return LEAST_PART.usual + (LEAST_PART.deep - LEAST_PART.usual) * Math.max(0, Math.min(1, depth));
+function minPart(ofAll: number): number {
+  const severity = (SHORTAGE.begins - ofAll) / (SHORTAGE.begins - SHORTAGE.severe);
+  return MIN_PART.usual + (MIN_PART.severe - MIN_PART.usual) * Math.max(0, Math.min(1, severity));
 }
 
-/** Sizes double from one to the next. */
+/** Each size is twice the one before. */
 function sizeOf(promptTokens: number): number {
   return Math.round(Math.log2(Math.max(1, promptTokens)));
 }
--- a/packages/serving/src/admission.ts
+++ b/packages/serving/src/admission.ts
@@ -1,115 +1,115 @@
-/** Whether a request is taken or turned away, by what its first event is predicted to take. */
+/** Decides whether a request is accepted or rejected, by the predicted time to its first event. */
 
-/** What the decision rests on, all in milliseconds. */
+/** What the decision is based on; all times in milliseconds. */
 export interface AdmissionInputs {
   /** Predicted time to the first event. */
   readonly predictedMs: number;
-  /** The part of it that it would take if nothing else were under way. */
+  /** The part of it that is left if no other work is under way. */
   readonly unloadedMs: number;
-  /** Whether the prediction rests on prompts that were read, and not on priors that may be wrong by ten. */
+  /** Whether the prediction rests on observed prefills, and not on priors that may be wrong by a factor of ten. */
   readonly isLearned: boolean;
-  /** Time after which the caller gives a stream up that has not begun. */
+  /** Time after which the caller gives up a stream that has not started. */
   readonly callerTimeoutMs: number;
-  /** What is left of the caller's deadline and the route's timeout. */
+  /** Time left of the caller's deadline and the route's timeout. */
   readonly remainingMs: number;
-  /** Longest time that the route lets a caller wait. */
+  /** The route's timeout: longest time that it lets a caller wait. */
   readonly routeMs: number;
-  /** A uniform number in [0, 1). */
+  /** A uniform random number in [0, 1). */
   readonly draw: number;
 }
 
-/** A request that is turned away. */
+/** The rejection of a request. */
 export interface Rejection {
-  /** Time after which there is room, in milliseconds. */
+  /** Time after which the caller should retry, in milliseconds. */
   readonly retryAfterMs: number;
 }
 
 /**
- * Part of the caller's patience that the prediction may reach. An answer that comes after it is late anyway, and
- * reading its prompt makes those behind it late too. Mean worth of five days with trouble: 0.496 when predictions could
- * reach 2.5 times the patience, 0.553 at this part.
+ * Maximum predicted time as a part of the caller's timeout. An answer after that is late anyway, and its prefill makes
+ * those queued behind it late too. Mean worth over five simulated days with faults: 0.496 with predictions of up to 2.5
+ * times the timeout, 0.553 with this part.
  */
-const PATIENCE_PART = 0.5;
+const USUAL_PART = 0.5;
 
 /**
- * Part of the patience for a caller that has been turned away before: sent away again it would get nothing at all, after it has
- * waited as it was told to.
+ * The same for a caller that was rejected before: if it were rejected again, it would get nothing at all, though it has
+ * waited as long as it was told to.
  */
-const RETURNED_PART = 0.65;
+const RETURNING_PART = 0.65;
 
-/** Time left, as a share of the route's, below which a caller counts as one that has come back. */
-const RETURNED_TIME_SHARE = 0.97;
+/** Remaining time, as a share of the route's timeout, below which a caller counts as one that retries. */
+const RETURNING_TIME_SHARE = 0.97;
 
 /**
- * Wait that a prompt may have however long it takes by itself, as a part of the patience: the largest would otherwise
- * be turned away by an idle fleet, as their own reading takes more than half of the patience.
+ * Wait that every prompt is allowed beside its own prefill, as a part of the timeout. Without it the largest prompts
+ * would be rejected by an idle fleet, as their own prefill takes more than half of the timeout.
  */
-const LONG_WAIT_PART = 0.1;
+const MIN_WAIT_PART = 0.1;
 
 /**
- * Multiple of the patience that a prediction may reach which nothing was learned for yet: it rests on a prior, and a
- * daemon that turned all long prompts away by it would learn nothing.
+ * Maximum predicted time as a multiple of the timeout while the prediction still rests on a prior: a daemon that
+ * rejected all long prompts by a wrong prior would never learn.
  */
-const UNSURE_MULTIPLE = 2.5;
+const PRIOR_MULTIPLE = 2.5;
 
-/** Part of the patience that should be left for the caller's next try. */
-const COMFORTABLE_PART = 0.5;
+/** Part of the timeout that a retry should find the predicted time reduced to. */
+const RETRY_TARGET_PART = 0.5;
 
-/** Bounds of the time to come back, in milliseconds. */
-const RETURN_MS = { least: 200, most: 2_500 };
+/** Bounds of the retry time before jitter, in milliseconds. */
+const RETRY_AFTER_MS = { min: 200, max: 2_500 };
 
-/** Share of the time to come back by which callers are spread. */
-const SPREAD = 0.5;
+/** Maximum jitter of the retry time, as a share of it. */
+const RETRY_JITTER = 0.5;
 
 /**
- * The load it answers: prompts come faster than the engines read them, for
- * longer than the queues can carry. Each prompt that is read after its caller
- * has left, or will hardly wait for it, delays all behind it. Those are turned away
- * at once and keep their time for another try. The time to come back is when the
- * queue will have shrunk to half the caller's patience, spread so that those
- * turned away together don't return together.
+ * Rejects requests at once when prompts arrive faster than the engines prefill
+ * them, for longer than the queues can absorb. A prompt that is prefilled after
+ * its caller has left, or shortly before, delays all prompts behind it; a rejected
+ * caller keeps its time for a retry. The retry time is when the queue will have
+ * shrunk to half the caller's timeout, with jitter so that callers rejected
+ * together don't return together.
  *
  * @param inputs - prediction and limits
- * @returns the rejection, or undefined if the request is taken
+ * @returns the rejection, or undefined if the request is accepted
  */
-export function judgeAdmission(inputs: AdmissionInputs): Rejection | undefined {
-  // The first prompts after a start are what predictions are learned from.
+export function checkAdmission(inputs: AdmissionInputs): Rejection | undefined {
+  // Predictions are learned from the first prompts after a start, so that these are accepted more freely.
   if (!inputs.isLearned) {
-    const unsureMs = Math.min(inputs.callerTimeoutMs * UNSURE_MULTIPLE, inputs.remainingMs);
-    return inputs.predictedMs <= unsureMs ? undefined : rejectionOf(inputs);
+    const priorMs = Math.min(inputs.callerTimeoutMs * PRIOR_MULTIPLE, inputs.remainingMs);
+    return inputs.predictedMs <= priorMs ? undefined : rejectionOf(inputs);
   }
-  const longMs = inputs.unloadedMs + inputs.callerTimeoutMs * LONG_WAIT_PART;
-  const usualMs = inputs.callerTimeoutMs * (hasComeBack(inputs) ? RETURNED_PART : PATIENCE_PART);
+  const longMs = inputs.unloadedMs + inputs.callerTimeoutMs * MIN_WAIT_PART;
+  const usualMs = inputs.callerTimeoutMs * (isReturningCaller(inputs) ? RETURNING_PART : USUAL_PART);
   const limitMs = Math.min(Math.max(usualMs, longMs), inputs.callerTimeoutMs, inputs.remainingMs);
   return inputs.predictedMs <= limitMs ? undefined : rejectionOf(inputs);
 }
 
 /**
- * @param inputs - what is left of the caller's time, and what its route gives it
- * @returns whether the caller has been here before, and was told to come back
+ * @param inputs - remaining time of the caller, and timeout of its route
+ * @returns whether the caller retries after an earlier rejection, which shows by the time that has passed
  */
-export function hasComeBack(inputs: Pick<AdmissionInputs, "remainingMs" | "routeMs">): boolean {
-  return inputs.remainingMs < inputs.routeMs * RETURNED_TIME_SHARE;
+export function isReturningCaller(inputs: Pick<AdmissionInputs, "remainingMs" | "routeMs">): boolean {
+  return inputs.remainingMs < inputs.routeMs * RETURNING_TIME_SHARE;
 }
 
 function rejectionOf(inputs: AdmissionInputs): Rejection {
-  const excessMs = inputs.predictedMs - inputs.callerTimeoutMs * COMFORTABLE_PART;
-  const baseMs = Math.max(RETURN_MS.least, Math.min(RETURN_MS.most, excessMs));
-  return { retryAfterMs: baseMs * (1 + inputs.draw * SPREAD) };
+  const excessMs = inputs.predictedMs - inputs.callerTimeoutMs * RETRY_TARGET_PART;
+  const baseMs = Math.max(RETRY_AFTER_MS.min, Math.min(RETRY_AFTER_MS.max, excessMs));
+  return { retryAfterMs: baseMs * (1 + inputs.draw * RETRY_JITTER) };
 }
 
-/** Shortest time after which callers give up a stream that stalls, in milliseconds. */
-const LEAST_PATIENCE_MS = 2_000;
+/** Minimum time after which callers give up a stalled stream, in milliseconds. */
+const MIN_CALLER_TIMEOUT_MS = 2_000;
 
-/** Patience in multiples of the objective, and of the longest pause in time. */
-const PATIENCE_OBJECTIVES = 4;
-const PATIENCE_PAUSES = 8;
+/** The callers' timeout in multiples of the objective for the first event, and of the longest acceptable pause. */
+const TIMEOUT_OBJECTIVES = 4;
+const TIMEOUT_PAUSES = 8;
 
 /**
  * @param objectiveMs - time within which the first event is in time
- * @param pauseMs - longest pause between events that is in time
- * @returns time after which callers give up a stream that stalls, in milliseconds
+ * @param pauseMs - longest acceptable pause between events
+ * @returns time after which callers give up a stalled stream, in milliseconds
  */
 export function streamCallerTimeoutMs(objectiveMs: number, pauseMs: number): number {
-  return Math.max(LEAST_PATIENCE_MS, PATIENCE_OBJECTIVES * objectiveMs, PATIENCE_PAUSES * pauseMs);
+  return Math.max(MIN_CALLER_TIMEOUT_MS, TIMEOUT_OBJECTIVES * objectiveMs, TIMEOUT_PAUSES * pauseMs);
 }
--- a/packages/serving/src/demand.ts
+++ b/packages/serving/src/demand.ts
@@ -1,82 +1,82 @@
 import type * as promptParts from "./promptParts.js";
 
-/** What callers ask of the engines of late. */
+/** Recent demand of callers for the engines. */
 
-/** Time over which a rate is averaged, in milliseconds. */
-const RATE_TIME_MS = 3_000;
+/** Time constant of a rate's exponential average, in milliseconds. */
+const TIME_CONSTANT_MS = 3_000;
 
-/** Time for which a rate has to be watched before it is more than its first requests, in milliseconds. */
-const LEAST_WATCHED_MS = 500;
+/** Minimum time that a rate is averaged over, in milliseconds, so that its first requests don't count too much. */
+const MIN_WINDOW_MS = 500;
 
-/** A rate that fades: what came long ago counts less and less. */
-export class FadingRate {
+/** A rate with exponential decay: older amounts count less and less. */
+export class DecayingRate {
   #sum = 0;
   #at = 0;
   #firstAt: number | undefined;
 
   /**
-   * @param amount - what came
-   * @param now - when it came, in milliseconds
+   * @param amount - the amount to add
+   * @param now - current instant in milliseconds
    */
   add(amount: number, now: number): void {
     this.#firstAt ??= now;
-    this.#fade(now);
+    this.#decay(now);
     this.#sum += amount;
   }
 
   /**
    * @param now - current instant in milliseconds
-   * @returns the amount that comes in a millisecond, from the first that came on
+   * @returns the amount per millisecond, averaged from the first addition on
    */
   perMs(now: number): number {
     if (this.#firstAt === undefined) return 0;
-    this.#fade(now);
-    const watchedMs = Math.max(LEAST_WATCHED_MS, now - this.#firstAt);
-    return this.#sum / (RATE_TIME_MS * (1 - Math.exp(-watchedMs / RATE_TIME_MS)));
+    this.#decay(now);
+    const windowMs = Math.max(MIN_WINDOW_MS, now - this.#firstAt);
+    return this.#sum / (TIME_CONSTANT_MS * (1 - Math.exp(-windowMs / TIME_CONSTANT_MS)));
   }
 
-  #fade(now: number): void {
-    this.#sum *= Math.exp(-Math.max(0, now - this.#at) / RATE_TIME_MS);
+  #decay(now: number): void {
+    this.#sum *= Math.exp(-Math.max(0, now - this.#at) / TIME_CONSTANT_MS);
     this.#at = now;
   }
 }
 
-/** Streams from which on the ratio is used, and those over which it is averaged. */
-const RATIO_STREAMS = { least: 6, most: 200 };
+/** Number of ended streams from which the ratio is used, and over which it is averaged. */
+const RATIO_STREAMS = { min: 6, averaged: 200 };
 
-/** How many events a token of the most that was asked for brings, as streams that have ended show it. */
-class EventRatio {
+/** Events per token of the maximum that callers asked for, learned from streams that have ended. */
+class EventsPerToken {
   #streams = 0;
   #tokens = 0;
   #events = 0;
 
   get ratio(): number {
-    return this.#streams < RATIO_STREAMS.least || this.#tokens === 0 ? 0 : this.#events / this.#tokens;
+    return this.#streams < RATIO_STREAMS.min || this.#tokens === 0 ? 0 : this.#events / this.#tokens;
   }
 
   learn(outputTokens: number, events: number): void {
-    const kept = 1 - 1 / RATIO_STREAMS.most;
+    const kept = 1 - 1 / RATIO_STREAMS.averaged;
     this.#tokens = this.#tokens * kept + outputTokens;
     this.#events = this.#events * kept + events;
     this.#streams++;
   }
 }
 
-/** What this daemon's callers ask of the engines of one or more model services. */
+/** Demand of this daemon's callers for the engines of one or more model services. */
 export class Demand {
-  readonly #readingMs = new FadingRate();
-  readonly #prompts = new FadingRate();
-  readonly #promptTokens = new FadingRate();
-  readonly #outputTokens = new FadingRate();
-  readonly #eventsOfToken = new EventRatio();
+  readonly #prefillMs = new DecayingRate();
+  readonly #prompts = new DecayingRate();
+  readonly #promptTokens = new DecayingRate();
+  readonly #outputTokens = new DecayingRate();
+  readonly #eventsPerToken = new EventsPerToken();
 
   /**
-   * @param readingMs - time that a prefill engine takes to read the prompt, in milliseconds
+   * @param prefillMs - time that a prefill engine takes for the prompt, in milliseconds
    * @param prompt - the prompt
-   * @param now - when it came, in milliseconds
+   * @param now - instant at which it arrived, in milliseconds
    */
-  add(readingMs: number, prompt: promptParts.Prompt, now: number): void {
-    this.#readingMs.add(readingMs, now);
+  add(prefillMs: number, prompt: promptParts.Prompt, now: number): void {
+    this.#prefillMs.add(prefillMs, now);
     this.#prompts.add(1, now);
     this.#promptTokens.add(prompt.promptTokens, now);
     this.#outputTokens.add(prompt.outputTokens, now);
@@ -84,34 +84,34 @@
 
   /**
    * @param now - current instant in milliseconds
-   * @returns prefill engines that reading keeps busy
+   * @returns number of prefill engines that the prompts keep busy
    */
   readingLoad(now: number): number {
-    return this.#readingMs.perMs(now);
+    return this.#prefillMs.perMs(now);
   }
 
   /**
-   * @param outputTokens - most tokens that a request asked for
-   * @param events - events that its whole stream had
+   * @param outputTokens - maximum number of tokens that a request asked for
+   * @param events - events of its whole stream
    */
   learnEvents(outputTokens: number, events: number): void {
-    this.#eventsOfToken.learn(outputTokens, events);
+    this.#eventsPerToken.learn(outputTokens, events);
   }
 
   /**
-   * What streams are to come is known before they begin: just after a start, and while long answers pile up, those
-   * that run now are a small part of them.
+   * Covers the streams that are to come as well as those that run. Just after a start, and while long answers
+   * accumulate, the running streams are a small part of them.
    *
    * @param now - current instant in milliseconds
-   * @returns events that the streams ask for in a millisecond, 0 as long as too few streams have ended
+   * @returns events per millisecond that the streams ask for, 0 as long as too few streams have ended
    */
   eventsPerMs(now: number): number {
-    return this.#outputTokens.perMs(now) * this.#eventsOfToken.ratio;
+    return this.#outputTokens.perMs(now) * this.#eventsPerToken.ratio;
   }
 
   /**
    * @param now - current instant in milliseconds
-   * @returns mean tokens of a prompt, or undefined if none has come
+   * @returns mean number of tokens of a prompt, or undefined if none has arrived
    */
   meanPromptTokens(now: number): number | undefined {
     const prompts = this.#prompts.perMs(now);
--- a/packages/serving/src/engineLoadTracker.ts
+++ b/packages/serving/src/engineLoadTracker.ts
@@ -1,38 +1,38 @@
 import * as promptParts from "./promptParts.js";
 import * as urgencies from "./urgency.js";
 
-/** Work that one daemon has at one endpoint. */
+/** Work that one daemon has in progress at one endpoint. */
 export interface EndpointWork {
-  /** Tokens not yet read, by urgency level. */
+  /** Tokens not yet prefilled, by urgency. */
   readonly unread: readonly number[];
-  /** Requests that are under way. */
+  /** Requests in progress. */
   readonly running: number;
 }
 
-/** A read that is under way at an engine; it ends with the first event or the handle. */
+/** A prefill in progress at an engine; it ends with the first event or with the handle of the KV cache. */
 export interface PendingPrefill {
   readonly endpointId: string;
-  readonly level: number;
+  readonly urgency: number;
   readonly tokens: number;
   done: boolean;
 }
 
 /**
- * Age at which a peer's word of its work no longer counts, in milliseconds,
- * where it speaks several times as often: an older word is of one that is gone.
+ * Age at which a peer's report of its work expires, in milliseconds. Peers report
+ * several times as often, so that an older report is from a daemon that is gone.
  */
 export const PEER_WORK_EXPIRY_MS = 700;
 
-/** A shared part of a prompt that an engine was given to read. */
+/** A shared part of a prompt that an engine was given to prefill. */
 export interface PartRead {
   readonly endpointId: string;
   readonly model: string;
   readonly part: promptParts.PromptPart;
-  /** Whether it has read the part, so that others can copy it from there. */
+  /** Whether the engine has prefilled the part, so that other engines can copy it from there. */
   readonly isRead: boolean;
 }
 
-interface PeerWord {
+interface PeerReport {
   readonly work: ReadonlyMap<string, EndpointWork>;
   readonly validUntil: number;
 }
@@ -43,11 +43,11 @@
   running: number;
 }
 
-/** Interval at which words that have expired are taken off the totals, in milliseconds. */
+/** Interval at which expired reports are subtracted from the totals, in milliseconds. */
 const EXPIRY_CHECK_MS = 50;
 
-/** Most reads kept to be told in the next pulse. */
-const MOST_UNTOLD_READS = 128;
+/** Maximum number of reads kept for the next message to the peers. */
+const MAX_UNSENT_READS = 128;
 
 interface EndpointState {
   readonly unread: number[];
@@ -56,43 +56,44 @@
 }
 
 /**
- * What is under way at each endpoint, from here and from the peers. Own work is
- * exact: it is taken off when the engine has read the prompt, not when a guess
- * says so. A peer's work counts until its next word, or until it expires.
+ * Tracks the work in progress at each endpoint, of this daemon and of its peers.
+ * Own work is exact: it is subtracted when the engine has prefilled the prompt,
+ * not after an estimated time. A peer's work counts until its next report, or
+ * until it expires.
  */
 export class EngineLoadTracker {
   readonly #states = new Map<string, EndpointState>();
-  readonly #peers = new Map<string, PeerWord>();
+  readonly #peers = new Map<string, PeerReport>();
   /**
-   * Kept up with each word, as a placement asks for every engine. With 63 engines
+   * Updated with each report, as a placement queries every engine. With 63 engines
    * and 61 peers, placing a prompt takes 0.13 ms of processor time; summing all
-   * peers' words each time, it took 1.41 ms (mean of 300 placements in a loop).
+   * peers' reports for each placement took 1.41 ms.
    */
   readonly #peerTotals = new Map<string, PeerTotal>();
   #expiryCheckedAt = Number.NEGATIVE_INFINITY;
-  #untoldReads: PartRead[] = [];
+  #unsentReads: PartRead[] = [];
 
   /**
    * @param endpointId - the engine
-   * @param tokens - tokens that it has to read
-   * @param level - urgency of the request
-   * @returns the read, to be ended with {@link endPrefill}
+   * @param tokens - tokens that it has to prefill
+   * @param urgency - urgency of the request
+   * @returns the prefill, to be ended with {@link endPrefill}
    */
-  beginPrefill(endpointId: string, tokens: number, level: number): PendingPrefill {
+  beginPrefill(endpointId: string, tokens: number, urgency: number): PendingPrefill {
     const state = this.#state(endpointId);
-    state.unread[level] = (state.unread[level] ?? 0) + tokens;
-    return { endpointId, level, tokens, done: false };
+    state.unread[urgency] = (state.unread[urgency] ?? 0) + tokens;
+    return { endpointId, urgency, tokens, done: false };
   }
 
-  /** @param read - a read that has ended; ending it twice has no effect */
-  endPrefill(read: PendingPrefill): void {
-    if (read.done) return;
-    read.done = true;
-    const state = this.#state(read.endpointId);
-    state.unread[read.level] = Math.max(0, (state.unread[read.level] ?? 0) - read.tokens);
+  /** @param prefill - a prefill that has ended; ending it twice has no effect */
+  endPrefill(prefill: PendingPrefill): void {
+    if (prefill.done) return;
+    prefill.done = true;
+    const state = this.#state(prefill.endpointId);
+    state.unread[prefill.urgency] = Math.max(0, (state.unread[prefill.urgency] ?? 0) - prefill.tokens);
   }
 
-  /** @param endpointId - endpoint at which a request begins */
+  /** @param endpointId - endpoint at which a request starts */
   beginRequest(endpointId: string): void {
     this.#state(endpointId).running++;
   }
@@ -104,10 +105,12 @@
   }
 
   /**
+   * Replaces a peer's last report of its work.
+   *
    * @param peer - name of the peer
    * @param work - its work, by endpoint
    * @param now - current instant in milliseconds
-   * @param validMs - time for which the word counts unless the peer speaks again, in milliseconds
+   * @param validMs - time after which the report expires unless the peer sends another, in milliseconds
    */
   updatePeerWork(
     peer: string,
@@ -116,36 +119,36 @@
     validMs: number = PEER_WORK_EXPIRY_MS,
   ): void {
     const before = this.#peers.get(peer);
-    if (before !== undefined) this.#count(before.work, -1);
+    if (before !== undefined) this.#addToTotals(before.work, -1);
     this.#peers.set(peer, { work, validUntil: now + validMs });
-    this.#count(work, 1);
+    this.#addToTotals(work, 1);
   }
 
   /**
    * @param endpointId - the engine
-   * @param level - urgency of a request that is to be placed
+   * @param urgency - urgency of a request that is to be placed
    * @param now - current instant in milliseconds
    * @returns unread tokens there that go before such a request
    */
-  tokensAhead(endpointId: string, level: number, now: number): number {
+  tokensAhead(endpointId: string, urgency: number, now: number): number {
     this.#expire(now);
-    const own = sumUpTo(this.#states.get(endpointId)?.unread, level);
-    return own + sumUpTo(this.#peerTotals.get(endpointId)?.unread, level);
+    const own = sumUpTo(this.#states.get(endpointId)?.unread, urgency);
+    return own + sumUpTo(this.#peerTotals.get(endpointId)?.unread, urgency);
   }
 
   /**
    * @param endpointId - the engine
-   * @param level - urgency of a request that is to be placed
+   * @param urgency - urgency of a request that is to be placed
    * @param now - current instant in milliseconds
-   * @returns unread tokens of a less urgent prompt that the engine is likely to have begun, and finishes first
+   * @returns estimated unread tokens of a less urgent prompt that the engine has started and finishes first
    */
-  tokensBegun(endpointId: string, level: number, now: number): number {
+  tokensInProgress(endpointId: string, urgency: number, now: number): number {
     this.#expire(now);
     const own = this.#states.get(endpointId)?.unread;
     const peers = this.#peerTotals.get(endpointId)?.unread;
-    for (let less = level + 1; less < urgencies.URGENCY_LEVELS; less++) {
+    for (let less = urgency + 1; less < urgencies.URGENCY_LEVELS; less++) {
       const tokens = (own?.[less] ?? 0) + (peers?.[less] ?? 0);
-      // Half of one prompt: on average half of the one that is being read is left.
+      // On average, half of the prompt in progress is left.
       if (tokens > 0) return Math.min(tokens, urgencies.typicalTokens(less)) / 2;
     }
     return 0;
@@ -154,7 +157,7 @@
   /**
    * @param endpointId - the endpoint
    * @param now - current instant in milliseconds
-   * @returns requests under way there, from all daemons
+   * @returns requests in progress there, from all daemons
    */
   runningRequests(endpointId: string, now: number): number {
     this.#expire(now);
@@ -163,7 +166,7 @@
 
   /**
    * @param endpointId - the endpoint
-   * @returns requests under way there from this daemon
+   * @returns requests in progress there from this daemon
    */
   ownRunning(endpointId: string): number {
     return this.#states.get(endpointId)?.running ?? 0;
@@ -171,8 +174,8 @@
 
   /**
    * @param endpointId - the engine
-   * @param memoryTokens - tokens that it can keep
-   * @returns the guess of what it keeps
+   * @param memoryTokens - tokens that its cache can hold
+   * @returns the estimated contents of its prefix cache
    */
   cache(endpointId: string, memoryTokens: number): promptParts.PromptCacheView {
     const state = this.#state(endpointId);
@@ -181,51 +184,53 @@
   }
 
   /**
-   * An engine is given a prompt to read: it will keep the parts, and the peers
-   * are to know of those that their own requests may share. Without that each
-   * daemon takes parts for unread that others had read at their home.
+   * Records that an engine caches a prompt, or will do so once it has prefilled
+   * it. The peers are informed, as their requests may share the parts; otherwise each
+   * daemon would take for uncached what other daemons had prefilled on the
+   * preferred engine.
    *
    * @param endpointId - the engine
-   * @param memoryTokens - tokens that it can keep
+   * @param memoryTokens - tokens that its cache can hold
    * @param prompt - the prompt
-   * @param isRead - whether it has read it already
+   * @param isRead - whether it has already prefilled the prompt
    */
   noteCachedPrompt(endpointId: string, memoryTokens: number, prompt: promptParts.Prompt, isRead = false): void {
     this.cache(endpointId, memoryTokens).addPrompt(prompt, isRead);
     const { model, parts } = prompt;
-    for (const part of parts) this.#untoldReads.push({ endpointId, model, part, isRead });
-    if (this.#untoldReads.length > MOST_UNTOLD_READS) this.#untoldReads = this.#untoldReads.slice(-MOST_UNTOLD_READS);
+    for (const part of parts) this.#unsentReads.push({ endpointId, model, part, isRead });
+    if (this.#unsentReads.length > MAX_UNSENT_READS) this.#unsentReads = this.#unsentReads.slice(-MAX_UNSENT_READS);
   }
 
-  /** @returns reads that the peers have not been told of; they are then forgotten */
+  /** @returns reads that were not yet sent to the peers; they are removed here */
   takeUnsentReads(): PartRead[] {
-    const reads = this.#untoldReads;
-    this.#untoldReads = [];
+    const reads = this.#unsentReads;
+    this.#unsentReads = [];
     return reads;
   }
 
-  /** @returns whether there are reads to tell the peers */
+  /** @returns whether there are reads to send to the peers */
   get hasUnsentReads(): boolean {
-    return this.#untoldReads.length > 0;
+    return this.#unsentReads.length > 0;
   }
 
   /**
-   * @param read - a part that an engine was given by a peer
+   * @param read - a part that a peer gave an engine to prefill
    */
   notePeerRead(read: PartRead): void {
     this.#states.get(read.endpointId)?.cache?.addPart(read.model, read.part, read.isRead);
   }
 
   /**
-   * Drops what is guessed or told of an endpoint. Own work stays: it is taken off
-   * as each request ends, and what was dropped would be taken off twice.
+   * Drops the estimated cache and the peers' work of an endpoint. Own work stays:
+   * it is subtracted as each request ends, and dropping it here would subtract it
+   * twice.
    *
-   * @param endpointId - an endpoint that is gone, or has started again and keeps nothing of before
+   * @param endpointId - an endpoint that is gone, or has restarted with an empty cache
    */
   forget(endpointId: string): void {
     const state = this.#states.get(endpointId);
     if (state !== undefined) state.cache = undefined;
-    this.#untoldReads = this.#untoldReads.filter((read) => read.endpointId !== endpointId);
+    this.#unsentReads = this.#unsentReads.filter((read) => read.endpointId !== endpointId);
     this.#peerTotals.delete(endpointId);
     for (const [peer, { work, validUntil }] of this.#peers) {
       if (!work.has(endpointId)) continue;
@@ -256,14 +261,14 @@
   #expire(now: number): void {
     if (now - this.#expiryCheckedAt < EXPIRY_CHECK_MS) return;
     this.#expiryCheckedAt = now;
-    for (const [peer, word] of this.#peers) {
-      if (now < word.validUntil) continue;
-      this.#count(word.work, -1);
+    for (const [peer, report] of this.#peers) {
+      if (now < report.validUntil) continue;
+      this.#addToTotals(report.work, -1);
       this.#peers.delete(peer);
     }
   }
 
-  #count(work: ReadonlyMap<string, EndpointWork>, sign: 1 | -1): void {
+  #addToTotals(work: ReadonlyMap<string, EndpointWork>, sign: 1 | -1): void {
     for (const [endpointId, { unread, running }] of work) {
       let total = this.#peerTotals.get(endpointId);
       if (total === undefined) {
@@ -271,15 +276,15 @@
         this.#peerTotals.set(endpointId, total);
       }
       total.running += sign * running;
-      for (const [level, tokens] of unread.entries()) total.unread[level] = (total.unread[level] ?? 0) + sign * tokens;
+      for (const [index, tokens] of unread.entries()) total.unread[index] = (total.unread[index] ?? 0) + sign * tokens;
       if (total.running === 0 && total.unread.every((tokens) => tokens === 0)) this.#peerTotals.delete(endpointId);
     }
   }
 }
 
-function sumUpTo(unread: readonly number[] | undefined, level: number): number {
+function sumUpTo(unread: readonly number[] | undefined, urgency: number): number {
   if (unread === undefined) return 0;
   let sum = 0;
-  for (let index = 0; index <= level; index++) sum += unread[index] ?? 0;
+  for (let index = 0; index <= urgency; index++) sum += unread[index] ?? 0;
   return sum;
 }
--- a/packages/serving/src/placement.ts
+++ b/packages/serving/src/placement.ts
@@ -1,100 +1,116 @@
 import * as common from "@camphorcourse/common";
 import * as directories from "./endpointDirectory.js";
-import * as boards from "./engineLoadTracker.js";
+import * as loadTrackers from "./engineLoadTracker.js";
 import type * as engineSpeeds from "./engineSpeeds.js";
 import * as promptParts from "./promptParts.js";
 import * as urgencies from "./urgency.js";
 
-/** Where a prompt is read and where its tokens are made. */
+/** The engines chosen for the prefill and the decoding of one prompt. */
 export interface EnginePlan {
-  /** Engine that makes the tokens; where another reads the prompt, as things stand now. */
+  /** Engine that generates the tokens. With a separate prefill engine it is only a forecast from the present load. */
   readonly decodeEngine: directories.Endpoint;
-  /** Engine that reads the prompt first, or undefined where the decoder reads it. */
+  /** Engine that prefills the prompt for the decode engine, or undefined if the decode engine does so itself. */
   readonly prefillEngine: directories.Endpoint | undefined;
-  /** Engine from which the one that reads copies the shared parts that it doesn't keep, if that is faster. */
+  /** Engine from which the cache of shared parts is copied before the prefill, if that is faster than computing it. */
   readonly copySource: directories.Endpoint | undefined;
-  /** Tokens that have to be read. */
+  /** Prompt tokens that are not cached and have to be prefilled. */
   readonly unreadTokens: number;
-  /** The reading's work, attention included, as tokens of a short prompt. */
+  /** Cost of the prefill, attention included, as the number of tokens of a short prompt that takes as long. */
   readonly workTokens: number;
+  /** Urgency in the engine's queue; 0 goes first. */
   readonly urgency: number;
-  /** Tokens that the engine has to read before. */
+  /** Unread tokens that the engine handles before this prompt. */
   readonly tokensAhead: number;
-  /** Tokens that it has to read at all, less urgent ones included. */
+  /** All unread tokens at the engine, those of less urgent prompts included. */
   readonly tokensWaiting: number;
   /** Predicted time to the first event, in milliseconds. */
   readonly predictedMs: number;
-  /** The part of it that it would take if nothing else were under way, in milliseconds. */
+  /** The part of it that is left if no other work is under way, in milliseconds. */
   readonly unloadedMs: number;
 }
 
-/** What the choice rests on. */
+/** What a placement is computed from. */
 export interface PlacementInputs {
   readonly prompt: promptParts.Prompt;
   readonly engines: readonly directories.Endpoint[];
-  readonly loads: boards.EngineLoadTracker;
+  readonly loads: loadTrackers.EngineLoadTracker;
+  /** Tokens that an engine's prefix cache can hold. */
   readonly memoryTokens: number;
-  /** What is known of the speed of the service's engines. */
+  /** Estimated speeds of the service's engines. */
   readonly speeds: engineSpeeds.EngineSpeeds;
-  /** Factor by which an endpoint is slower than expected, 1 for a sound one. */
+  /** Factor by which an endpoint is slower than expected; 1 for a healthy one. */
   readonly slowness: (endpointId: string) => number;
   readonly dataCentre: string;
-  /** Longest pause between two events with which a stream is in time, in milliseconds. */
+  /** Longest acceptable pause between two events of a stream, in milliseconds. */
   readonly maxPauseMs: number;
   readonly now: number;
 }
 
-/** Time that an endpoint in another data centre adds, in milliseconds: a way there and back. */
-const OTHER_DATA_CENTRE_MS = 2;
+/** Round trip to an endpoint in another data centre, in milliseconds. */
+const CROSS_DATA_CENTRE_MS = 2;
 
 /**
- * Places a prompt by the predicted time to its first event: tokens ahead of it,
- * parts already cached, both ways of reading it. Its parts' home engine comes
- * first among equals, so that one engine keeps each group of shared parts
- * instead of all of them reading it.
+ * Places a prompt by the predicted time to its first event, which covers queued
+ * tokens, cached parts, and both ways of serving it: prefill on the decode engine
+ * (colocated) or on a prefill engine (disaggregated). Each group of shared parts
+ * has a preferred engine, so that one engine caches the group instead of all of
+ * them prefilling it.
  *
  * @param inputs - the prompt, the engines and what is known of them
- * @returns the best plan, or undefined if no engine can make tokens
+ * @returns the best plan, or undefined if no engine can generate tokens
  */
 export function placePrompt(inputs: PlacementInputs): EnginePlan | undefined {
-  const decoders = inputs.engines.filter((engine) => engine.role !== directories.EngineRole.Prefill);
-  const readers = inputs.engines.filter((engine) => engine.role === directories.EngineRole.Prefill);
+  const decodeEngines = inputs.engines.filter((engine) => engine.role !== directories.EngineRole.Prefill);
+  const prefillEngines = inputs.engines.filter((engine) => engine.role === directories.EngineRole.Prefill);
   const sources = copySources(inputs);
-  const direct = best(inputs, decoders, sources);
-  const apart = best(inputs, readers, sources);
-  const target = chooseDecodeEngine(inputs, apart?.engine);
-  if (direct === undefined || target === undefined) return undefined;
-  const directMs = direct.predictedMs + strainMs(inputs, direct);
-  const slotMs = slotWaitMs(target, inputs.loads.runningRequests(target.id, inputs.now));
+  const colocated = bestCandidate(inputs, decodeEngines, sources);
+  const disaggregated = bestCandidate(inputs, prefillEngines, sources);
+  const decodeEngine = chooseDecodeEngine(inputs, disaggregated?.engine);
+  if (colocated === undefined || decodeEngine === undefined) return undefined;
+  const colocatedMs = colocated.predictedMs + interferenceMs(inputs, colocated);
+  const slotMs = slotWaitMs(decodeEngine, inputs.loads.runningRequests(decodeEngine.id, inputs.now));
   const handoverMs = inputs.speeds.handoverMs(inputs.prompt.promptTokens);
-  const apartMs = apart === undefined ? Number.POSITIVE_INFINITY : apart.predictedMs + handoverMs + slotMs;
-  if (apart === undefined || directMs <= apartMs) {
-    return { ...direct, decodeEngine: direct.engine, prefillEngine: undefined, predictedMs: direct.predictedMs };
+  const disaggregatedMs =
+    disaggregated === undefined ? Number.POSITIVE_INFINITY : disaggregated.predictedMs + handoverMs + slotMs;
+  if (disaggregated === undefined || colocatedMs <= disaggregatedMs) {
+    return {
+      ...colocated,
+      decodeEngine: colocated.engine,
+      prefillEngine: undefined,
+      predictedMs: colocated.predictedMs,
+    };
   }
-  const aloneMs = apart.unloadedMs + handoverMs;
-  return { ...apart, decodeEngine: target, prefillEngine: apart.engine, predictedMs: apartMs, unloadedMs: aloneMs };
+  const unloadedMs = disaggregated.unloadedMs + handoverMs;
+  return {
+    ...disaggregated,
+    decodeEngine,
+    prefillEngine: disaggregated.engine,
+    predictedMs: disaggregatedMs,
+    unloadedMs,
+  };
 }
 
 /**
- * Delay of the streams at a decode engine that counts against reading a prompt
- * there, as a share of the reading for each stream: each piece of the prompt is
- * read between two tokens of all of them, and long answers miss their deadline.
+ * Cost that a prefill on a decode engine causes to each stream there, as a share
+ * of the prefill time. The prompt is prefilled in chunks between two tokens of
+ * all streams; without this cost, long answers miss their deadline.
  */
-const STREAM_STRAIN = 0.05;
+const INTERFERENCE_PER_STREAM = 0.05;
 
-/** What a stream that becomes late counts against reading a prompt beside it, in milliseconds. */
-const LATE_STREAM_MS = 100;
+/** Cost of each stream that a colocated prefill makes late, in milliseconds. */
+const LATE_STREAM_COST_MS = 100;
 
-function strainMs(inputs: PlacementInputs, direct: Candidate): number {
-  const { loads: board, now, maxPauseMs: pauseAimMs, speeds } = inputs;
-  const { id, role } = direct.engine;
-  const streams = board.runningRequests(id, now);
-  const readMs = speeds.prefillMs(role, direct.workTokens);
-  // An event of a stream waits for all that is read between its tokens.
+/** Cost of the delays that a colocated prefill causes to the engine's streams, in milliseconds. */
+function interferenceMs(inputs: PlacementInputs, colocated: Candidate): number {
+  const { loads, now, maxPauseMs, speeds } = inputs;
+  const { id, role } = colocated.engine;
+  const streams = loads.runningRequests(id, now);
+  const prefillMs = speeds.prefillMs(role, colocated.workTokens);
+  // An event of a stream waits for all prefills that run between its tokens.
   const pauseMs = speeds.pause.baseMs + speeds.pause.perStreamMs * streams;
-  const waitingMs = speeds.prefillMs(role, board.tokensAhead(id, urgencies.LEAST_URGENT, now));
-  const lateStreams = pauseMs + waitingMs + readMs > pauseAimMs ? streams : 0;
-  return readMs * streams * STREAM_STRAIN + lateStreams * LATE_STREAM_MS;
+  const queuedMs = speeds.prefillMs(role, loads.tokensAhead(id, urgencies.LEAST_URGENT, now));
+  const lateStreams = pauseMs + queuedMs + prefillMs > maxPauseMs ? streams : 0;
+  return prefillMs * streams * INTERFERENCE_PER_STREAM + lateStreams * LATE_STREAM_COST_MS;
 }
 
 interface Candidate {
@@ -109,18 +125,18 @@
   readonly unloadedMs: number;
 }
 
-function best(
+function bestCandidate(
   inputs: PlacementInputs,
   engines: readonly directories.Endpoint[],
   sources: readonly CopySource[],
 ): Candidate | undefined {
-  const group = promptParts.sharedGroup(inputs.prompt);
-  const home = group === undefined ? undefined : homeOf(group, engines);
+  const prefixId = promptParts.sharedPrefixId(inputs.prompt);
+  const preferredId = prefixId === undefined ? undefined : preferredEngineId(prefixId, engines);
   let chosen: Candidate | undefined;
   let chosenCost = Number.POSITIVE_INFINITY;
   for (const engine of engines) {
-    for (const candidate of candidatesAt(inputs, engine, sources)) {
-      const cost = candidate.predictedMs + (engine.id === home ? 0 : homeLeavingMs(inputs, candidate));
+    for (const candidate of candidatesFor(inputs, engine, sources)) {
+      const cost = candidate.predictedMs + (engine.id === preferredId ? 0 : affinityCostMs(inputs, candidate));
       if (cost < chosenCost) {
         chosen = candidate;
         chosenCost = cost;
@@ -131,150 +147,148 @@
 }
 
 /**
- * Weight of reading shared parts at another engine than their home, in multiples of that reading: the copy also pushes
- * other parts out of a second cache. In a replay of long shared prompts, with both weights at 6 and at 30: 2.66 and 1.55
- * million tokens read again, goodput 0.870 and 0.877 (means of eight seeds).
+ * Cost of prefilling shared parts on another engine than the preferred one, in multiples of that prefill's time: the
+ * duplicate also evicts other parts from a second cache. In a replay of long shared prompts, raising this weight and the
+ * next from 6 to 30 lowered the tokens prefilled again from 2.66 to 1.55 million and raised goodput from 0.870 to 0.877.
  */
-const READ_ELSEWHERE_WEIGHT = 30;
+const PREFILL_ELSEWHERE_WEIGHT = 30;
 
-/** The same for shared parts that are copied from the engine that keeps them. */
+/** The same for shared parts that are copied from the engine that caches them, in multiples of the copy's time. */
 const COPY_ELSEWHERE_WEIGHT = 30;
 
-function homeLeavingMs(inputs: PlacementInputs, candidate: Candidate): number {
-  const own = inputs.prompt.parts.at(-1)?.tokens ?? 0;
-  const shared = Math.max(0, inputs.prompt.promptTokens - own);
+function affinityCostMs(inputs: PlacementInputs, candidate: Candidate): number {
+  const uniqueTokens = inputs.prompt.parts.at(-1)?.tokens ?? 0;
+  const sharedTokens = Math.max(0, inputs.prompt.promptTokens - uniqueTokens);
   const { speeds } = inputs;
-  if (candidate.copySource !== undefined) return COPY_ELSEWHERE_WEIGHT * speeds.copyMs(shared);
-  return READ_ELSEWHERE_WEIGHT * speeds.prefillMs(candidate.engine.role, shared);
+  if (candidate.copySource !== undefined) return COPY_ELSEWHERE_WEIGHT * speeds.copyMs(sharedTokens);
+  return PREFILL_ELSEWHERE_WEIGHT * speeds.prefillMs(candidate.engine.role, sharedTokens);
 }
 
-/** An engine that keeps the beginning of the prompt. */
+/** An engine that caches a prefix of the prompt. */
 interface CopySource {
   readonly engine: directories.Endpoint;
   readonly tokens: number;
 }
 
-/** The engines that keep most of the prompt: the first in each data centre. */
+/** For each data centre, the first of the engines that cache the longest prefix of the prompt. */
 function copySources(inputs: PlacementInputs): CopySource[] {
-  const { loads: board, memoryTokens, prompt } = inputs;
-  const best = new Map<string, CopySource>();
+  const { loads, memoryTokens, prompt } = inputs;
+  const longest = new Map<string, CopySource>();
   for (const engine of inputs.engines) {
-    const tokens = board.cache(engine.id, memoryTokens).copyableTokens(prompt);
-    if (tokens > (best.get(engine.dataCentre)?.tokens ?? 0)) best.set(engine.dataCentre, { engine, tokens });
+    const tokens = loads.cache(engine.id, memoryTokens).copyableTokens(prompt);
+    if (tokens > (longest.get(engine.dataCentre)?.tokens ?? 0)) longest.set(engine.dataCentre, { engine, tokens });
   }
-  return [...best.values()];
+  return [...longest.values()];
 }
 
 /** Copies between data centres take twice as long. */
-const FAR_COPY_MULTIPLE = 2;
+const CROSS_DATA_CENTRE_COPY_FACTOR = 2;
 
-function homeOf(group: string, engines: readonly directories.Endpoint[]): string | undefined {
+function preferredEngineId(prefixId: string, engines: readonly directories.Endpoint[]): string | undefined {
   return common.rendezvousOrder(
-    group,
+    prefixId,
     engines.map((engine) => engine.id),
   )[0];
 }
 
-/** What an engine would do with the prompt: read all that it doesn't keep, or copy a part of that from another first. */
-function candidatesAt(
+/** The ways in which an engine can prefill the prompt: compute all that it doesn't cache, or copy a part of that first. */
+function candidatesFor(
   inputs: PlacementInputs,
   engine: directories.Endpoint,
   sources: readonly CopySource[],
 ): Candidate[] {
   const { prompt, speeds } = inputs;
-  const cached = inputs.loads.cache(engine.id, inputs.memoryTokens).cachedTokens(prompt);
-  const candidates = [candidateAt(inputs, engine, cached, undefined, 0)];
+  const cachedTokens = inputs.loads.cache(engine.id, inputs.memoryTokens).cachedTokens(prompt);
+  const candidates = [candidateFor(inputs, engine, cachedTokens, undefined, 0)];
   for (const source of sources) {
-    const copied = Math.min(source.tokens, prompt.promptTokens - 1) - cached;
-    if (copied <= 0 || source.engine.id === engine.id) continue;
-    const far = source.engine.dataCentre === engine.dataCentre ? 1 : FAR_COPY_MULTIPLE;
-    candidates.push(candidateAt(inputs, engine, cached + copied, source.engine, speeds.copyMs(copied) * far));
+    const copiedTokens = Math.min(source.tokens, prompt.promptTokens - 1) - cachedTokens;
+    if (copiedTokens <= 0 || source.engine.id === engine.id) continue;
+    const distanceFactor = source.engine.dataCentre === engine.dataCentre ? 1 : CROSS_DATA_CENTRE_COPY_FACTOR;
+    candidates.push(
+      candidateFor(
+        inputs,
+        engine,
+        cachedTokens + copiedTokens,
+        source.engine,
+        speeds.copyMs(copiedTokens) * distanceFactor,
+      ),
+    );
   }
   return candidates;
 }
 
-function candidateAt(
+function candidateFor(
   inputs: PlacementInputs,
   engine: directories.Endpoint,
   cachedTokens: number,
   copySource: directories.Endpoint | undefined,
   copyMs: number,
 ): Candidate {
-  const { loads: board, now, prompt, speeds } = inputs;
+  const { loads, now, prompt, speeds } = inputs;
   const unreadTokens = Math.max(1, prompt.promptTokens - cachedTokens);
-  const level = urgencies.urgencyOf(unreadTokens);
-  const tokensAhead = board.tokensAhead(engine.id, level, now);
-  const tokensWaiting = board.tokensAhead(engine.id, urgencies.LEAST_URGENT, now);
+  const urgency = urgencies.urgencyOf(unreadTokens);
+  const tokensAhead = loads.tokensAhead(engine.id, urgency, now);
+  const tokensWaiting = loads.tokensAhead(engine.id, urgencies.LEAST_URGENT, now);
   const workTokens = speeds.workTokens(engine.role, { unreadTokens, cachedTokens });
-  const running = board.runningRequests(engine.id, now);
+  const running = loads.runningRequests(engine.id, now);
   const slowness = inputs.slowness(engine.id);
-  const ownMs = speeds.fixedMs(engine.role, running) + copyMs + speeds.prefillMs(engine.role, workTokens);
-  const aloneMs = ownMs * slowness + wayMs(inputs, engine);
-  const predictedMs = aloneMs + queueMs(inputs, engine, level) + slotWaitMs(engine, running);
-  return {
-    engine,
-    copySource,
-    unreadTokens,
-    workTokens,
-    urgency: level,
-    tokensAhead,
-    tokensWaiting,
-    predictedMs,
-    unloadedMs: aloneMs,
-  };
+  const serviceMs = speeds.fixedMs(engine.role, running) + copyMs + speeds.prefillMs(engine.role, workTokens);
+  const unloadedMs = serviceMs * slowness + networkMs(inputs, engine);
+  const predictedMs = unloadedMs + queueMs(inputs, engine, urgency) + slotWaitMs(engine, running);
+  return { engine, copySource, unreadTokens, workTokens, urgency, tokensAhead, tokensWaiting, predictedMs, unloadedMs };
 }
 
-/** Time until an engine begins with a prompt of that level, in milliseconds. */
-function queueMs(inputs: PlacementInputs, engine: directories.Endpoint, level: number): number {
-  const { loads: board, now, speeds } = inputs;
-  const tokens = board.tokensAhead(engine.id, level, now) + board.tokensBegun(engine.id, level, now);
+/** Time until an engine starts a prompt of that urgency, in milliseconds. */
+function queueMs(inputs: PlacementInputs, engine: directories.Endpoint, urgency: number): number {
+  const { loads, now, speeds } = inputs;
+  const tokens = loads.tokensAhead(engine.id, urgency, now) + loads.tokensInProgress(engine.id, urgency, now);
   return speeds.prefillMs(engine.role, tokens) * inputs.slowness(engine.id);
 }
 
 /**
- * @param plan - where a prompt is to be read
- * @param inputs - what that rests on
- * @param level - another urgency level
- * @returns the same plan with that level
+ * @param plan - where a prompt is to be prefilled
+ * @param inputs - what the plan was computed from
+ * @param urgency - another urgency
+ * @returns the same plan with that urgency and the time predicted for it
  */
-export function withUrgency(plan: EnginePlan, inputs: PlacementInputs, level: number): EnginePlan {
+export function withUrgency(plan: EnginePlan, inputs: PlacementInputs, urgency: number): EnginePlan {
   const engine = plan.prefillEngine ?? plan.decodeEngine;
-  const savedMs = queueMs(inputs, engine, plan.urgency) - queueMs(inputs, engine, level);
-  const tokensAhead = inputs.loads.tokensAhead(engine.id, level, inputs.now);
-  return { ...plan, urgency: level, tokensAhead, predictedMs: plan.predictedMs - savedMs };
+  const savedMs = queueMs(inputs, engine, plan.urgency) - queueMs(inputs, engine, urgency);
+  const tokensAhead = inputs.loads.tokensAhead(engine.id, urgency, inputs.now);
+  return { ...plan, urgency, tokensAhead, predictedMs: plan.predictedMs - savedMs };
 }
 
-function wayMs(inputs: PlacementInputs, engine: directories.Endpoint): number {
-  return engine.dataCentre === inputs.dataCentre ? 0 : OTHER_DATA_CENTRE_MS;
+function networkMs(inputs: PlacementInputs, engine: directories.Endpoint): number {
+  return engine.dataCentre === inputs.dataCentre ? 0 : CROSS_DATA_CENTRE_MS;
 }
 
 /**
- * Chooses the engine that makes the tokens of a prompt that another engine has
- * read: the one with the fewest streams, where the prompt's shared parts are at
- * home if that is no worse.
+ * Chooses the engine that generates the tokens of a prompt which another engine
+ * prefills: the one with the fewest streams, or the preferred engine of the
+ * prompt's shared parts if that is no worse.
  *
  * @param inputs - the prompt, the engines and what is known of them
- * @param reader - the engine that reads the prompt, if one is known
- * @returns the engine, or undefined if none can make tokens
+ * @param prefillEngine - the engine that prefills the prompt, if it is known
+ * @returns the engine, or undefined if none can generate tokens
  */
 export function chooseDecodeEngine(
   inputs: PlacementInputs,
-  reader: directories.Endpoint | undefined,
+  prefillEngine: directories.Endpoint | undefined,
 ): directories.Endpoint | undefined {
-  const decoders = inputs.engines.filter((engine) => engine.role !== directories.EngineRole.Prefill);
-  const group = promptParts.sharedGroup(inputs.prompt);
-  const home = group === undefined ? undefined : homeOf(group, decoders);
+  const decodeEngines = inputs.engines.filter((engine) => engine.role !== directories.EngineRole.Prefill);
+  const prefixId = promptParts.sharedPrefixId(inputs.prompt);
+  const preferredId = prefixId === undefined ? undefined : preferredEngineId(prefixId, decodeEngines);
   let chosen: directories.Endpoint | undefined;
   let chosenCost = Number.POSITIVE_INFINITY;
-  for (const engine of decoders) {
+  for (const engine of decodeEngines) {
     const running = inputs.loads.runningRequests(engine.id, inputs.now);
-    const fullMs = ((1 + running) / engine.slots) * FULL_ENGINE_MS + slotWaitMs(engine, running);
-    const aheadTokens = inputs.loads.tokensAhead(engine.id, urgencies.LEAST_URGENT, inputs.now);
-    const aheadMs = inputs.speeds.prefillMs(engine.role, aheadTokens);
-    const homeMs = engine.id === home ? 0 : DECODER_HOME_MS;
-    // Waiting prompts slow the tokens of the streams beside them, though not the start of one whose prompt is read.
-    const busyMs = (fullMs + aheadMs * WAITING_READS_WEIGHT) * inputs.slowness(engine.id);
-    const cost = busyMs + wayMs(inputs, engine) + homeMs + farMoveMs(inputs, reader, engine);
+    const occupancyMs = ((1 + running) / engine.slots) * FULL_OCCUPANCY_MS + slotWaitMs(engine, running);
+    const queuedTokens = inputs.loads.tokensAhead(engine.id, urgencies.LEAST_URGENT, inputs.now);
+    const queuedMs = inputs.speeds.prefillMs(engine.role, queuedTokens);
+    const affinityMs = engine.id === preferredId ? 0 : DECODE_AFFINITY_MS;
+    // Queued prefills slow the tokens of all streams, but don't delay the start of a stream whose prompt is prefilled.
+    const busyMs = (occupancyMs + queuedMs * QUEUED_PREFILL_WEIGHT) * inputs.slowness(engine.id);
+    const cost = busyMs + networkMs(inputs, engine) + affinityMs + transferCostMs(inputs, prefillEngine, engine);
     if (cost < chosenCost) {
       chosen = engine;
       chosenCost = cost;
@@ -284,40 +298,41 @@
 }
 
 /**
- * What moving the prompt's memory to another data centre costs beside a move within one: it takes twice as long, and
- * fills links that carry more than this service's moves.
+ * Extra cost of transferring the prompt's KV cache to another data centre: the transfer takes twice as long as within
+ * one, and uses links that also carry other traffic.
  */
-function farMoveMs(
+function transferCostMs(
   inputs: PlacementInputs,
-  reader: directories.Endpoint | undefined,
+  prefillEngine: directories.Endpoint | undefined,
   engine: directories.Endpoint,
 ): number {
-  if (reader === undefined || reader.dataCentre === engine.dataCentre) return 0;
-  return FAR_MOVE_WEIGHT * inputs.speeds.copyMs(inputs.prompt.promptTokens);
+  if (prefillEngine === undefined || prefillEngine.dataCentre === engine.dataCentre) return 0;
+  return CROSS_DATA_CENTRE_TRANSFER_WEIGHT * inputs.speeds.copyMs(inputs.prompt.promptTokens);
 }
 
-/** Weight of a move between data centres, in multiples of the time of one within. */
-const FAR_MOVE_WEIGHT = 3;
+/** Cost of a transfer between data centres, in multiples of the time of one within a data centre. */
+const CROSS_DATA_CENTRE_TRANSFER_WEIGHT = 3;
 
-/** Weight of a decode engine's taken slots in the choice, in milliseconds when all are taken: it spreads streams evenly. */
-const FULL_ENGINE_MS = 50;
+/** Cost of a decode engine whose slots are all taken, in milliseconds; it spreads streams evenly. */
+const FULL_OCCUPANCY_MS = 50;
 
-/** Share of a decode engine's waiting reads that a handed-over prompt feels. */
-const WAITING_READS_WEIGHT = 0.3;
+/** Share of a decode engine's queued prefill time that counts against it for a prompt that is already prefilled. */
+const QUEUED_PREFILL_WEIGHT = 0.3;
 
 /**
- * Advantage of the decode engine where the prompt's shared parts are at home, in
- * milliseconds: prompts that it reads itself find them there. Shared parts read
- * again on a day of high load: 768 thousand tokens without it, 611 with it.
+ * Cost of any other decode engine than the preferred one of the prompt's shared
+ * parts, in milliseconds: prompts that the preferred one prefills itself find the
+ * parts cached. On a day of high load this lowered the shared tokens that were
+ * prefilled again from 768 to 611 thousand.
  */
-const DECODER_HOME_MS = 20;
+const DECODE_AFFINITY_MS = 20;
 
 /**
  * Time that each stream beyond an engine's slots adds to the wait for a slot, in
- * milliseconds. Assumed, not measured: streams of 2.5 s at 64 slots.
+ * milliseconds. It corresponds to streams of 2.5 s at 64 slots.
  */
-const BEYOND_SLOTS_MS = 40;
+const MS_PER_STREAM_BEYOND_SLOTS = 40;
 
 function slotWaitMs(engine: directories.Endpoint, running: number): number {
-  return Math.max(0, running + 1 - engine.slots) * BEYOND_SLOTS_MS;
+  return Math.max(0, running + 1 - engine.slots) * MS_PER_STREAM_BEYOND_SLOTS;
 }
--- a/packages/serving/src/promptAdmission.ts
+++ b/packages/serving/src/promptAdmission.ts
@@ -1,66 +1,67 @@
 import * as neverthrow from "neverthrow";
+import type * as acceptanceTrackers from "./acceptanceTracker.js";
 import * as admissions from "./admission.js";
 import * as placements from "./placement.js";
-import type * as sizeShares from "./acceptanceTracker.js";
 
-/** What is known of the request whose prompt is to be read. */
+/** What the admission of a request depends on besides the placement of its prompt. */
 export interface PromptLimits extends Omit<admissions.AdmissionInputs, "predictedMs" | "unloadedMs"> {
   /** Name of its kind. */
   readonly kind: string;
 }
 
 /**
- * Decides on a prompt that has its place. One that would be turned away, of a size that is turned away much more often
- * than its kind, is moved up in its engine's queue as far as it takes to be read in time. Without that the largest
- * prompts alone pay for a shortage, and their callers see nothing but rejections.
+ * Accepts or rejects a prompt that has been placed. A prompt that would be rejected, and whose size is accepted much
+ * less often than its kind, gets just the urgency that it needs to start in time. Otherwise a shortage would hit the
+ * largest prompts alone, and all of their callers would be rejected.
  *
- * @param plan - where it is to be read
- * @param placement - what that rests on
- * @param limits - what is known of the request
- * @param shares - how often each size is taken; what becomes of this prompt is noted
- * @returns the plan, with its level, or the rejection
+ * @param plan - where it is to be prefilled
+ * @param placement - what the plan was computed from
+ * @param limits - what else the admission depends on
+ * @param acceptance - acceptance rates of each size; the outcome for this prompt is recorded there
+ * @returns the plan with its final urgency, or the rejection
  */
 export function admitPrompt(
   plan: placements.EnginePlan,
   placement: placements.PlacementInputs,
   limits: PromptLimits,
-  shares: sizeShares.AcceptanceTracker,
+  acceptance: acceptanceTrackers.AcceptanceTracker,
 ): neverthrow.Result<placements.EnginePlan, admissions.Rejection> {
   const { kind } = limits;
   const { now, prompt } = placement;
-  // A caller that comes back was counted when it came first.
-  if (!admissions.hasComeBack(limits)) shares.noteOffered(kind, prompt.promptTokens, now);
-  const admitted = judgeOrMoveUp(plan, placement, limits, shares);
-  if (admitted.isOk()) shares.noteTaken(kind, prompt.promptTokens, now);
+  // A caller that returns after a rejection was counted the first time.
+  if (!admissions.isReturningCaller(limits)) acceptance.noteOffered(kind, prompt.promptTokens, now);
+  const admitted = checkOrPromote(plan, placement, limits, acceptance);
+  if (admitted.isOk()) acceptance.noteAccepted(kind, prompt.promptTokens, now);
   return admitted;
 }
 
-function judgeOrMoveUp(
+function checkOrPromote(
   plan: placements.EnginePlan,
   placement: placements.PlacementInputs,
   limits: PromptLimits,
-  shares: sizeShares.AcceptanceTracker,
+  acceptance: acceptanceTrackers.AcceptanceTracker,
 ): neverthrow.Result<placements.EnginePlan, admissions.Rejection> {
-  const rejection = judge(plan, limits);
+  const rejection = check(plan, limits);
   if (rejection === undefined) return neverthrow.ok(plan);
-  if (!shares.isBehind(limits.kind, placement.prompt.promptTokens, placement.now)) return neverthrow.err(rejection);
-  const moved = movedUp(plan, placement, limits);
-  return moved === undefined ? neverthrow.err(rejection) : neverthrow.ok(moved);
+  if (!acceptance.isUnderserved(limits.kind, placement.prompt.promptTokens, placement.now))
+    return neverthrow.err(rejection);
+  const promoted = promote(plan, placement, limits);
+  return promoted === undefined ? neverthrow.err(rejection) : neverthrow.ok(promoted);
 }
 
-/** As few levels as it takes: each one lets it pass prompts half as long. */
-function movedUp(
+/** Raises the urgency by as few levels as needed: each further level lets it overtake prompts half as long. */
+function promote(
   plan: placements.EnginePlan,
   placement: placements.PlacementInputs,
   limits: PromptLimits,
 ): placements.EnginePlan | undefined {
-  for (let level = plan.urgency - 1; level >= 0; level--) {
-    const moved = placements.withUrgency(plan, placement, level);
-    if (judge(moved, limits) === undefined) return moved;
+  for (let urgency = plan.urgency - 1; urgency >= 0; urgency--) {
+    const promoted = placements.withUrgency(plan, placement, urgency);
+    if (check(promoted, limits) === undefined) return promoted;
   }
   return undefined;
 }
 
-function judge(plan: placements.EnginePlan, limits: PromptLimits): admissions.Rejection | undefined {
-  return admissions.judgeAdmission({ ...limits, predictedMs: plan.predictedMs, unloadedMs: plan.unloadedMs });
+function check(plan: placements.EnginePlan, limits: PromptLimits): admissions.Rejection | undefined {
+  return admissions.checkAdmission({ ...limits, predictedMs: plan.predictedMs, unloadedMs: plan.unloadedMs });
 }
--- a/packages/serving/src/promptParts.ts
+++ b/packages/serving/src/promptParts.ts
@@ -1,6 +1,6 @@
 import * as lru from "lru-cache";
 
-/** One part of a prompt; requests that begin with the same parts share them in an engine's cache. */
+/** One part of a prompt; requests whose prompts begin with the same parts share them in an engine's prefix cache. */
 export interface PromptPart {
   readonly id: string;
   readonly tokens: number;
@@ -9,31 +9,32 @@
 /** A prompt as the caller described it. */
 export interface Prompt {
   readonly model: string;
-  /** Parts in the order of the prompt; the last is the request's own. */
+  /** Parts in the order of the prompt; the last belongs to this request alone. */
   readonly parts: readonly PromptPart[];
   readonly promptTokens: number;
+  /** Maximum number of tokens that the caller asked for. */
   readonly outputTokens: number;
 }
 
-/** @returns the last part that other requests can share, or undefined */
-export function sharedGroup(prompt: Prompt): string | undefined {
+/** @returns id of the last part that other requests can share, or undefined */
+export function sharedPrefixId(prompt: Prompt): string | undefined {
   return prompt.parts.at(-2)?.id;
 }
 
-interface KeptPart {
+interface CachedPart {
   readonly tokens: number;
-  /** Whether it has been read: before, there is nothing to copy. */
+  /** Whether the part has been prefilled; until then there is nothing to copy. */
   readonly isRead: boolean;
 }
 
 /**
- * Guess of what one engine keeps of prompts' parts, from the requests sent
- * there: the least recently used parts yield when its memory is full.
+ * Estimates which prompt parts one engine caches, from the requests sent to it.
+ * The least recently used parts are evicted when its memory is full.
  */
 export class PromptCacheView {
-  readonly #parts: lru.LRUCache<string, KeptPart>;
+  readonly #parts: lru.LRUCache<string, CachedPart>;
 
-  /** @param memoryTokens - tokens that the engine can keep */
+  /** @param memoryTokens - tokens that the engine's cache can hold */
   constructor(memoryTokens: number) {
     this.#parts = new lru.LRUCache({
       maxSize: Math.max(1, Math.floor(memoryTokens)),
@@ -42,8 +43,8 @@
   }
 
   /**
-   * @param prompt - a prompt that the engine reads
-   * @param isRead - whether it has read it already
+   * @param prompt - a prompt that the engine prefills
+   * @param isRead - whether it has already prefilled the prompt
    */
   addPrompt(prompt: Prompt, isRead = true): void {
     for (const part of prompt.parts) this.addPart(prompt.model, part, isRead);
@@ -51,8 +52,8 @@
 
   /**
    * @param model - the model
-   * @param part - a part that the engine reads for it
-   * @param isRead - whether it has read it already
+   * @param part - a part that the engine prefills for it
+   * @param isRead - whether it has already prefilled the part
    */
   addPart(model: string, part: PromptPart, isRead = true): void {
     if (part.tokens <= 0) return;
@@ -63,13 +64,13 @@
 
   /**
    * @param prompt - a prompt
-   * @returns tokens at its beginning that another engine can copy from here: those that have been read
+   * @returns tokens of its prefix that another engine can copy from this one: those that have been prefilled
    */
   copyableTokens(prompt: Prompt): number {
     let copyable = 0;
     for (const part of prompt.parts) {
-      const kept = this.#parts.get(cacheKey(prompt.model, part.id));
-      if (kept?.isRead !== true) break;
+      const cached = this.#parts.get(cacheKey(prompt.model, part.id));
+      if (cached?.isRead !== true) break;
       copyable += part.tokens;
     }
     return copyable;
@@ -77,7 +78,7 @@
 
   /**
    * @param prompt - a prompt
-   * @returns tokens at its beginning that need not be read again
+   * @returns tokens of its prefix that need not be prefilled again
    */
   cachedTokens(prompt: Prompt): number {
     let cached = 0;
--- a/packages/serving/src/retryBudget.ts
+++ b/packages/serving/src/retryBudget.ts
@@ -1,36 +1,36 @@
-/** The budget of repeated sends to one service, shared by all daemons without a message. */
+/** The budget of retries for one service, which all daemons keep together without exchanging messages. */
 
-/** The operators' bound on repeated sends to a service. */
+/** The operators' limit on retries for a service. */
 export interface RetryBounds {
-  /** Repeats allowed for each request. */
+  /** Retries allowed for each request. */
   readonly ratio: number;
-  /** Repeats allowed besides, by all daemons together, in one window. */
+  /** Further retries allowed to all daemons together in one window. */
   readonly extra: number;
   readonly windowMs: number;
 }
 
 /**
- * Daemons that may come on top of those that are known, as a share of them:
- * spare VMs join before anybody has heard of them.
+ * Daemons that may run beside the known ones, as a share of them: spare VMs join
+ * before the others know of them.
  */
 const JOINING_SHARE = 0.5;
 
-/** Part of a daemon's fair share that it spends; the rest covers windows that slide over two of ours. */
+/** Part of its fair share that a daemon spends; a sliding window can overlap two windows of this daemon. */
 const SPENT_PART = 0.8;
 
 /**
- * Counts own requests and own repeats over a sliding window. Each daemon spends
+ * Counts own requests and own retries over a sliding window. Each daemon spends
  * its part of the extra and the ratio of its own requests, so that the sum over
- * all daemons keeps the bound whatever they know of each other.
+ * all daemons stays within the limit whatever they know of each other.
  */
 export class SharedRetryBudget {
   readonly #bounds: RetryBounds;
   readonly #startedAt: number;
   readonly #requests: number[] = [];
-  readonly #repeats: number[] = [];
+  readonly #retries: number[] = [];
 
   /**
-   * @param bounds - the operators' bound
+   * @param bounds - the operators' limit
    * @param startedAt - instant at which the process started, in milliseconds
    */
   constructor(bounds: RetryBounds, startedAt: number) {
@@ -38,28 +38,28 @@
     this.#startedAt = startedAt;
   }
 
-  /** @param now - instant at which a request for the service came, in milliseconds */
+  /** @param now - instant at which a request for the service arrived, in milliseconds */
   noteRequest(now: number): void {
     this.#requests.push(now);
   }
 
   /**
    * @param now - current instant in milliseconds
-   * @param daemons - daemons that are known, this one included
-   * @returns whether one repeat may be sent; it is then spent
+   * @param daemons - number of known daemons, this one included
+   * @returns whether one retry may be sent; it is then counted as spent
    */
   spend(now: number, daemons: number): boolean {
     const since = now - this.#bounds.windowMs;
     dropBefore(this.#requests, since);
-    dropBefore(this.#repeats, since);
-    if (this.#repeats.length + 1 > this.#allowance(now, daemons)) return false;
-    this.#repeats.push(now);
+    dropBefore(this.#retries, since);
+    if (this.#retries.length + 1 > this.#allowance(now, daemons)) return false;
+    this.#retries.push(now);
     return true;
   }
 
   /**
-   * A process that has just started doesn't know what its predecessor on the
-   * same VM has spent of the extra; until a window has passed it has none.
+   * A process that has just started doesn't know how much of the extra its
+   * predecessor on the same VM has spent; it gets none until a window has passed.
    */
   #allowance(now: number, daemons: number): number {
     const share = (this.#bounds.extra * SPENT_PART) / (daemons * (1 + JOINING_SHARE));
--- a/packages/serving/src/roleBalance.ts
+++ b/packages/serving/src/roleBalance.ts
@@ -4,10 +4,11 @@
 /** A change of one engine's role. */
 export interface RoleChange {
   readonly endpointId: string;
+  /** The new role. */
   readonly role: directories.EngineRole;
-  /** Prefill engines that reading keeps busy now. */
+  /** Number of prefill engines that the present prompts keep busy. */
   readonly readingLoad: number;
-  /** Streams for each decode engine now. */
+  /** Present streams per decode engine. */
   readonly streamsPerEngine: number;
 }
 
@@ -15,108 +16,109 @@
 export interface BalancedEngine {
   readonly id: string;
   readonly role: directories.EngineRole;
-  /** Requests under way there, from all daemons. */
+  /** Requests in progress there, from all daemons. */
   readonly running: number;
   /** Requests that it serves at once. */
   readonly slots: number;
-  /** Whether it is away for a change of its role; {@link BalancedEngine.role} is the one to come. */
+  /** Whether it is unavailable for a change of its role; {@link BalancedEngine.role} is then the new one. */
   readonly changing?: boolean;
-  /** Instant in milliseconds at which it was last asked in vain, if it was and has not answered since. */
+  /** Instant in milliseconds of its last failure to answer a role change, unless it has answered since. */
   readonly failedAt?: number | undefined;
 }
 
-/** What the balance thinks of the present split, for the log. */
+/** State of the last decision, for the log. */
 export interface RoleOutlook {
   /** Role of which one more engine is wanted; none if the split may stay. */
   readonly wanted: directories.EngineRole;
-  /** Whether it can't wait for an ordinary rest. */
+  /** Whether the change can't wait for the usual cooldown. */
   readonly urgent: boolean;
   readonly prefill: number;
   readonly decode: number;
   /** Time for which the same role has been wanted, in milliseconds. */
   readonly heldMs: number;
-  /** What is left of the rest after the last change, in milliseconds. */
+  /** Remaining cooldown after the last change, in milliseconds. */
   readonly cooldownMs: number;
 }
 
 /** What is known at one moment. */
 export interface BalanceInputs {
   readonly engines: readonly BalancedEngine[];
-  /** Prefill engines that reading all callers' prompts keeps busy. */
+  /** Number of prefill engines that all callers' prompts keep busy. */
   readonly readingLoad: number;
-  /** Events that all callers' streams ask for in a millisecond, as far as it is known before they begin. */
+  /** Events per millisecond that all callers' streams ask for, as far as it is known before they start. */
   readonly eventsPerMs: number;
   /** How fast the engines work. */
   readonly speeds: Pick<engineSpeeds.EngineSpeeds, "pause" | "decodeReadingShare">;
-  /** Streams for which one engine has memory. */
+  /** Number of streams that fit into one engine's memory. */
   readonly streamCapacity: number;
   readonly now: number;
 }
 
-/** Share of a decode engine's time that reading may take: with more of it, long answers miss their deadline. */
-const READING_SHARE_OF_DECODE = 0.35;
+/** Share of a decode engine's time that prefills may take: with more of it, long answers miss their deadline. */
+const MAX_PREFILL_SHARE_OF_DECODE = 0.35;
 
-/** Strain that another split must save for its changes to be worth engines that are away for some seconds. */
-const WORTHWHILE = { strain: 0.35, share: 0.2 };
+/** Minimum reduction of the queue length by another split: each change makes an engine unavailable for some seconds. */
+const MIN_IMPROVEMENT = { queueLength: 0.35, share: 0.2 };
 
-/** Utilization above which strain no longer follows a queue's length but grows steeply and without bound. */
-const STEEP_FROM = 0.9;
-const STEEPNESS = 100;
+/** Utilization above which an overload is assumed: the queue length then grows linearly and steeply. */
+const OVERLOAD_UTILIZATION = 0.9;
+const OVERLOAD_SLOPE = 100;
 
-/** Streams at a lone decode engine from which it gets another beside it, as a share of its slots. */
-const LONE_FULL_SHARE = 0.6;
+/** Occupancy from which a single decode engine gets another one beside it, as a share of its slots. */
+const SINGLE_FULL_SHARE = 0.6;
 
-/** Time for which a reason must hold before a change, in milliseconds: a burst of a second is no reason. */
-const REASON_HOLDS_MS = 1_500;
+/** Time for which a role must be wanted before a change, in milliseconds, so that bursts of a second are ignored. */
+const HOLD_MS = 1_500;
 
 /**
- * The same two times in milliseconds where streams have outgrown the decode
- * engines, as nothing that is read can be gone on with until another one helps,
- * and where prompts come faster than all engines read them, as each second of
- * waiting makes a second's prompts late.
+ * Hold time and cooldown in milliseconds for urgent changes: when streams have
+ * outgrown the decode engines, prefilled prompts can't continue until another
+ * engine helps; when prompts arrive faster than all engines prefill them, each
+ * second of waiting makes a second's prompts late.
  */
-const URGENT_HOLDS_MS = 500;
-const URGENT_REST_MS = 3_000;
+const URGENT_HOLD_MS = 500;
+const URGENT_COOLDOWN_MS = 3_000;
 
 /**
- * Least time between two changes in milliseconds: an engine that changes first finishes its streams and is then away
- * for some seconds, and until then the load doesn't show what the change has brought. In a large fleet one engine is
- * a small part, so the rest is as much shorter.
+ * Minimum time between two changes: an engine that changes first finishes its streams and is then unavailable for some
+ * seconds, and until then the load doesn't show the effect of the change. The full time holds up to a number of engines;
+ * in a larger fleet one engine is a smaller part, so the cooldown is proportionally shorter.
  */
-const REST_MS = { ofFleet: 9_000, fleet: 6, least: 1_000 };
+const COOLDOWN = { fullMs: 9_000, fullUpToEngines: 6, minMs: 1_000 };
 
 /**
- * Changes to the same role that follow each other: the rest between two of them and the time within which the next one
- * belongs to them, in milliseconds, and the share of the engines that may be away at once. The first split after a start may be wrong by half of the engines; one change in several seconds would leave prompts
- * queueing for most of a minute.
+ * Consecutive changes to the same role: cooldown between two of them and time within which the next one belongs to the
+ * series, in milliseconds, and maximum share of the engines that may be changing at once. The first split after a start
+ * may be wrong by half of the engines; with one change in several seconds, prompts would queue for most of a minute.
  */
-const SERIES = { restMs: 250, withinMs: 5_000, awayShare: 0.35 };
+const SERIES = { cooldownMs: 250, withinMs: 5_000, changingShare: 0.35 };
 
 /**
- * The load it answers: the mix swings between long prompts and long answers, and
- * engines crash or are taken away, so that one role is short of engines while
- * the other has some to spare. It compares the strain of the present split with
- * that of every other, from the utilization of reading and of the streams'
- * slots, and goes there one engine after the other. Few changes: a reason has to
- * hold, must pay, and changes of mind rest. A role that has no engine left is
- * filled at once, as nothing can be served without it.
+ * Balances the roles of one service's engines. The mix swings between long prompts
+ * and long answers, and engines crash or are removed, so that one role can lack
+ * engines while the other has some to spare. The balance compares the expected
+ * queue length of the present split with that of every other, from the utilization
+ * of prefill and of the streams' slots, and changes one engine after the other
+ * towards the best. It avoids needless changes: a role must be wanted for some
+ * time, the change must pay, and a cooldown follows it. A decode role without any
+ * engine is filled at once, as nothing can be served without it.
  */
 export class RoleBalance {
-  #reasonSince = 0;
-  #reasonRole = directories.EngineRole.None;
+  #wantedSince = 0;
+  #wantedRole = directories.EngineRole.None;
   #changedAt = Number.NEGATIVE_INFINITY;
   #changedTo = directories.EngineRole.None;
   #outlook: RoleOutlook | undefined;
-  readonly #peak = new EventPeak();
+  readonly #peak = new PeakEventRate();
 
-  /** @returns what the last decision rested on, once there was one */
+  /** @returns state of the last decision, or undefined before the first */
   get outlook(): RoleOutlook | undefined {
     return this.#outlook;
   }
 
   /**
-   * @param now - instant at which a change, here or at another daemon, was made, in milliseconds
-   * @param role - the engine's role to come, if it is known
+   * @param now - instant at which a change was made, here or at another daemon, in milliseconds
+   * @param role - the engine's new role, if it is known
    */
   recordChange(now: number, role = directories.EngineRole.None): void {
     if (now >= this.#changedAt) this.#changedTo = role;
@@ -124,9 +126,9 @@
     this.putOff();
   }
 
-  /** A change was tried and came to nothing: it is tried again once the reason has held anew, from the next look on. */
+  /** Restarts the hold time after an attempted change that failed; it counts from the next decision on. */
   putOff(): void {
-    this.#reasonRole = directories.EngineRole.None;
+    this.#wantedRole = directories.EngineRole.None;
   }
 
   /**
@@ -139,42 +141,42 @@
     const decode = engines.filter((engine) => engine.role === directories.EngineRole.Decode);
     const load = this.#load(inputs, decode);
     const { role: wanted, urgent } = wantedRole(prefill, decode, load);
-    if (wanted !== this.#reasonRole || wanted === directories.EngineRole.None) {
-      this.#reasonRole = wanted;
-      this.#reasonSince = now;
+    if (wanted !== this.#wantedRole || wanted === directories.EngineRole.None) {
+      this.#wantedRole = wanted;
+      this.#wantedSince = now;
     }
-    const goesOn = wanted === this.#changedTo && now - this.#changedAt < SERIES.withinMs;
-    const usualRestMs = Math.min(urgent ? URGENT_REST_MS : REST_MS.ofFleet, restMs(engines.length));
-    const restUntil = this.#changedAt + (goesOn ? SERIES.restMs : usualRestMs);
-    const restLeftMs = decode.length > 0 ? Math.max(0, restUntil - now) : 0;
-    const heldMs = now - this.#reasonSince;
-    this.#outlook = { wanted, urgent, prefill: prefill.length, decode: decode.length, heldMs, cooldownMs: restLeftMs };
+    const isSeries = wanted === this.#changedTo && now - this.#changedAt < SERIES.withinMs;
+    const usualCooldownMs = Math.min(urgent ? URGENT_COOLDOWN_MS : COOLDOWN.fullMs, fleetCooldownMs(engines.length));
+    const cooldownUntil = this.#changedAt + (isSeries ? SERIES.cooldownMs : usualCooldownMs);
+    const cooldownMs = decode.length > 0 ? Math.max(0, cooldownUntil - now) : 0;
+    const heldMs = now - this.#wantedSince;
+    this.#outlook = { wanted, urgent, prefill: prefill.length, decode: decode.length, heldMs, cooldownMs };
     if (wanted === directories.EngineRole.None) return undefined;
-    if (restLeftMs > 0) return undefined;
-    const holdsMs = urgent ? URGENT_HOLDS_MS : REASON_HOLDS_MS;
-    if (heldMs < (goesOn ? SERIES.restMs : holdsMs)) return undefined;
-    if (decode.length > 0 && tooManyAway(engines)) return undefined;
+    if (cooldownMs > 0) return undefined;
+    const holdMs = urgent ? URGENT_HOLD_MS : HOLD_MS;
+    if (heldMs < (isSeries ? SERIES.cooldownMs : holdMs)) return undefined;
+    if (decode.length > 0 && tooManyChanging(engines)) return undefined;
     const from = wanted === directories.EngineRole.Prefill ? decode : prefill;
-    const chosen = from.filter((engine) => engine.changing !== true).sort(byReadiness)[0];
+    const chosen = from.filter((engine) => engine.changing !== true).sort(byPreference)[0];
     if (chosen === undefined) return undefined;
     return {
       endpointId: chosen.id,
       role: wanted,
       readingLoad: inputs.readingLoad,
-      streamsPerEngine: streams(decode) / Math.max(1, decode.length),
+      streamsPerEngine: runningStreams(decode) / Math.max(1, decode.length),
     };
   }
 
   #load(inputs: BalanceInputs, decode: readonly BalancedEngine[]): Load {
-    const { readingLoad, speeds, streamCapacity: streamsInMemory, now } = inputs;
-    const slots = Math.max(1, Math.min(streamsInMemory, ...decode.map((engine) => engine.slots)));
+    const { readingLoad, speeds, streamCapacity, now } = inputs;
+    const slots = Math.max(1, Math.min(streamCapacity, ...decode.map((engine) => engine.slots)));
     const { pause, decodeReadingShare } = speeds;
     const running = decode.length === 0 ? 0 : eventRate(decode, pause);
     const eventsPerMs = Math.max(running, inputs.eventsPerMs);
     return {
       readingLoad,
       eventsPerMs,
-      peakEventsPerMs: this.#peak.follow(eventsPerMs, now),
+      peakEventsPerMs: this.#peak.update(eventsPerMs, now),
       slots,
       pause,
       decodeReadingShare,
@@ -182,152 +184,160 @@
   }
 }
 
-function tooManyAway(engines: readonly BalancedEngine[]): boolean {
-  const away = engines.filter((engine) => engine.changing === true).length;
-  return away >= Math.max(1, engines.length * SERIES.awayShare);
+function tooManyChanging(engines: readonly BalancedEngine[]): boolean {
+  const changing = engines.filter((engine) => engine.changing === true).length;
+  return changing >= Math.max(1, engines.length * SERIES.changingShare);
 }
 
 /**
- * Those that were not asked in vain first, then by how long ago that was: an
- * engine that answers nothing gets no work, so it would be the idlest for ever,
- * and every change would be tried there. Of the others the idlest, as it changes
- * soonest.
+ * Engines that have not failed come first, then those whose failure is longest ago.
+ * An engine that doesn't answer gets no work, so it would stay the idlest for ever,
+ * and every change would be attempted there. Among the others, the idlest comes
+ * first, as it changes soonest.
  */
-function byReadiness(left: BalancedEngine, right: BalancedEngine): number {
+function byPreference(left: BalancedEngine, right: BalancedEngine): number {
   const failed = (left.failedAt ?? Number.NEGATIVE_INFINITY) - (right.failedAt ?? Number.NEGATIVE_INFINITY);
   if (left.failedAt !== right.failedAt) return failed;
   return left.running - right.running || (left.id < right.id ? -1 : 1);
 }
 
-function restMs(engines: number): number {
-  return Math.max(REST_MS.least, REST_MS.ofFleet * Math.min(1, REST_MS.fleet / Math.max(1, engines)));
+function fleetCooldownMs(engines: number): number {
+  return Math.max(COOLDOWN.minMs, COOLDOWN.fullMs * Math.min(1, COOLDOWN.fullUpToEngines / Math.max(1, engines)));
 }
 
-interface Wish {
+interface WantedRole {
   readonly role: directories.EngineRole;
-  /** Whether streams have outgrown the decode engines, or reading all engines. */
+  /** Whether streams have outgrown the decode engines, or prompts outgrown all engines. */
   readonly urgent: boolean;
 }
 
-const NO_WISH: Wish = { role: directories.EngineRole.None, urgent: false };
-const DECODE_AT_ONCE: Wish = { role: directories.EngineRole.Decode, urgent: true };
-
-function wantedRole(prefill: readonly BalancedEngine[], decode: readonly BalancedEngine[], load: Load): Wish {
-  // Also the last engine that is left: a decode engine can read prompts, a prefill engine can answer none, and every
-  // prompt would be turned away for as long as no other engine joins.
-  if (decode.length === 0) return prefill.length > 0 ? DECODE_AT_ONCE : NO_WISH;
-  const [lone] = decode;
-  // With it all streams would be lost, and while it is full nobody can go on with what prefill engines read.
-  const loneIsFull = decode.length === 1 && lone !== undefined && lone.running > lone.slots * LONE_FULL_SHARE;
-  if (loneIsFull && prefill.length > 1) return DECODE_AT_ONCE;
+const NO_CHANGE: WantedRole = { role: directories.EngineRole.None, urgent: false };
+const URGENT_DECODE: WantedRole = { role: directories.EngineRole.Decode, urgent: true };
+
+function wantedRole(prefill: readonly BalancedEngine[], decode: readonly BalancedEngine[], load: Load): WantedRole {
+  // This holds for the last engine too: a decode engine can prefill prompts, but a prefill engine can answer none, and
+  // every prompt would be rejected until another engine joins.
+  if (decode.length === 0) return prefill.length > 0 ? URGENT_DECODE : NO_CHANGE;
+  const [single] = decode;
+  // All streams would be lost with a single decode engine, and while it is full, prefilled prompts can't continue.
+  const singleIsFull = decode.length === 1 && single !== undefined && single.running > single.slots * SINGLE_FULL_SHARE;
+  if (singleIsFull && prefill.length > 1) return URGENT_DECODE;
   const engines = prefill.length + decode.length;
-  const present = strain(load, prefill.length, decode.length);
-  const best = leastStrained(load, engines, decode.length);
-  if (present - best.strain < Math.max(WORTHWHILE.strain, WORTHWHILE.share * present)) return NO_WISH;
+  const present = totalQueueLength(load, prefill.length, decode.length);
+  const best = bestSplit(load, engines, decode.length);
+  if (present - best.queueLength < Math.max(MIN_IMPROVEMENT.queueLength, MIN_IMPROVEMENT.share * present))
+    return NO_CHANGE;
   if (best.decode < decode.length) {
-    const urgent = load.readingLoad > readingCapacity(load, prefill.length, decode.length);
+    const urgent = load.readingLoad > prefillCapacity(load, prefill.length, decode.length);
     return { role: directories.EngineRole.Prefill, urgent };
   }
-  const full = streamsAt(load.eventsPerMs, load, decode.length) > load.slots * STEEP_FROM;
+  const full = streamsPerEngineAt(load.eventsPerMs, load, decode.length) > load.slots * OVERLOAD_UTILIZATION;
   return { role: directories.EngineRole.Decode, urgent: full };
 }
 
 interface Split {
   readonly decode: number;
-  readonly strain: number;
+  readonly queueLength: number;
 }
 
-/** The split with the least strain; one with fewer decode engines than now must leave enough of them. */
-function leastStrained(load: Load, engines: number, presentDecode: number): Split {
-  let best: Split = { decode: presentDecode, strain: strain(load, engines - presentDecode, presentDecode) };
+/** The split with the shortest queues; one with fewer decode engines than at present must leave enough of them. */
+function bestSplit(load: Load, engines: number, presentDecode: number): Split {
+  let best: Split = {
+    decode: presentDecode,
+    queueLength: totalQueueLength(load, engines - presentDecode, presentDecode),
+  };
   for (let decode = 1; decode < engines; decode++) {
     if (decode < presentDecode && !leavesEnough(load, decode)) continue;
-    const split = { decode, strain: strain(load, engines - decode, decode) };
-    if (split.strain < best.strain) best = split;
+    const split = { decode, queueLength: totalQueueLength(load, engines - decode, decode) };
+    if (split.queueLength < best.queueLength) best = split;
   }
   return best;
 }
 
 /**
- * Whether so many decode engines carry the next swing of the mix, which comes
- * within seconds, or the loss of one of them. With a third of six engines left to
- * decode, a burst of long answers put 128 streams on one engine; a change back
- * takes seconds, and prefill engines can't make tokens in the meantime.
+ * Whether so many decode engines can carry the next burst, which comes within
+ * seconds, or the loss of one of them. With a third of six engines left to decode,
+ * a burst of long answers put 128 streams on one engine; changing an engine back
+ * takes seconds, and prefill engines can't generate tokens in the meantime.
  */
 function leavesEnough(load: Load, decode: number): boolean {
-  if (decode < LEAST_DECODE) return false;
-  const swung = streamsAt(load.peakEventsPerMs * SWING, load, decode);
-  const afterLoss = streamsAt(load.peakEventsPerMs, load, decode - 1);
-  return Math.max(swung, afterLoss) <= load.slots * STEEP_FROM;
+  if (decode < MIN_DECODE_ENGINES) return false;
+  const inBurst = streamsPerEngineAt(load.peakEventsPerMs * BURST_FACTOR, load, decode);
+  const afterLoss = streamsPerEngineAt(load.peakEventsPerMs, load, decode - 1);
+  return Math.max(inBurst, afterLoss) <= load.slots * OVERLOAD_UTILIZATION;
 }
 
-/** Decode engines that always remain: with one, its loss would be that of all streams. */
-const LEAST_DECODE = 2;
+/** Number of decode engines that always remain: the loss of a single one would be the loss of all streams. */
+const MIN_DECODE_ENGINES = 2;
 
-/** Multiple of the most streams of late that the decode engines should carry: bursts of one kind of request reach 1.9. */
-const SWING = 1.5;
+/** Multiple of the recent peak rate that the decode engines should carry: bursts of one kind of request reach 1.9. */
+const BURST_FACTOR = 1.5;
 
-/** The load on the engines, and what they can do. */
+/** The load on the engines, and their capacity. */
 interface Load {
   readonly readingLoad: number;
-  /** Events of all streams that the decode engines make in a millisecond. */
+  /** Events per millisecond of all streams. */
   readonly eventsPerMs: number;
-  /** The same, the most of late. */
+  /** The recent peak of that rate. */
   readonly peakEventsPerMs: number;
+  /** Streams that one decode engine can serve. */
   readonly slots: number;
   readonly pause: engineSpeeds.EngineSpeeds["pause"];
   readonly decodeReadingShare: number;
 }
 
-/** Time in which a peak fades, in milliseconds: several swings of the mix. */
-const PEAK_TIME_MS = 12_000;
+/** Time constant of a peak's decay, in milliseconds: it spans several swings of the mix. */
+const PEAK_DECAY_MS = 12_000;
 
-/** The most events of late: a quiet moment between two bursts is no reason to give decode engines away. */
-class EventPeak {
+/** The recent peak of the event rate: a quiet moment between two bursts is no reason to give decode engines away. */
+class PeakEventRate {
   #peak = 0;
   #at = 0;
 
-  follow(eventsPerMs: number, now: number): number {
-    this.#peak = Math.max(eventsPerMs, this.#peak * Math.exp(-Math.max(0, now - this.#at) / PEAK_TIME_MS));
+  update(eventsPerMs: number, now: number): number {
+    this.#peak = Math.max(eventsPerMs, this.#peak * Math.exp(-Math.max(0, now - this.#at) / PEAK_DECAY_MS));
     this.#at = now;
     return this.#peak;
   }
 }
 
-/** Events that the streams ask for, from how many run now and how fast an engine with that many makes events. */
+/** Events per millisecond of the running streams, from their number and the speed of an engine with that many. */
 function eventRate(decode: readonly BalancedEngine[], pause: Load["pause"]): number {
-  const running = streams(decode);
+  const running = runningStreams(decode);
   return running / (pause.baseMs + pause.perStreamMs * (running / decode.length));
 }
 
-/** How hard a split of the engines is pressed by reading and by streams: the sum of both queues' expected lengths. */
-function strain(load: Load, prefill: number, decode: number): number {
-  const streamsEach = streamsAt(load.eventsPerMs, load, decode);
-  const capacity = readingCapacity(load, prefill, decode);
-  return queueLength(load.readingLoad / capacity) + queueLength(streamsEach / load.slots);
+/** Sum of the expected queue lengths of prefill and of decoding with a split of the engines. */
+function totalQueueLength(load: Load, prefill: number, decode: number): number {
+  const streamsPerEngine = streamsPerEngineAt(load.eventsPerMs, load, decode);
+  const capacity = prefillCapacity(load, prefill, decode);
+  return queueLength(load.readingLoad / capacity) + queueLength(streamsPerEngine / load.slots);
 }
 
-/** Prefill engines that would read as much as this split does. */
-function readingCapacity(load: Load, prefill: number, decode: number): number {
-  return prefill + decode * load.decodeReadingShare * READING_SHARE_OF_DECODE;
+/** Prefill capacity of a split, decode engines included, in prefill engines. */
+function prefillCapacity(load: Load, prefill: number, decode: number): number {
+  return prefill + decode * load.decodeReadingShare * MAX_PREFILL_SHARE_OF_DECODE;
 }
 
-/** Streams at each decode engine if there were so many: fewer engines make events more slowly, so streams last longer. */
-function streamsAt(eventsPerMs: number, load: Load, decode: number): number {
-  const each = eventsPerMs / decode;
-  const utilization = each * load.pause.perStreamMs;
+/** Streams per engine with so many decode engines: with fewer of them each is slower, so that streams last longer. */
+function streamsPerEngineAt(eventsPerMs: number, load: Load, decode: number): number {
+  const perEngine = eventsPerMs / decode;
+  const utilization = perEngine * load.pause.perStreamMs;
   if (utilization >= 1) return Number.POSITIVE_INFINITY;
-  return (each * load.pause.baseMs) / (1 - utilization);
+  return (perEngine * load.pause.baseMs) / (1 - utilization);
 }
 
+/** Mean length of a queue at that utilization, extended linearly where it would grow without bound. */
 function queueLength(utilization: number): number {
-  const bounded = Math.min(utilization, STEEP_FROM);
-  return bounded / (1 - bounded) + Math.min(MOST_STEEP, Math.max(0, utilization - STEEP_FROM)) * STEEPNESS;
+  const bounded = Math.min(utilization, OVERLOAD_UTILIZATION);
+  return (
+    bounded / (1 - bounded) + Math.min(MAX_EXCESS, Math.max(0, utilization - OVERLOAD_UTILIZATION)) * OVERLOAD_SLOPE
+  );
 }
 
-/** Utilization beyond which a split is as bad as it can be. */
-const MOST_STEEP = 4;
+/** Excess utilization beyond which a split does not count as any worse. */
+const MAX_EXCESS = 4;
 
-function streams(engines: readonly BalancedEngine[]): number {
+function runningStreams(engines: readonly BalancedEngine[]): number {
   return engines.reduce((sum, engine) => sum + engine.running, 0);
 }
--- a/packages/serving/tests/admission.test.ts
+++ b/packages/serving/tests/admission.test.ts
@@ -3,13 +3,13 @@
 import * as assert from "uvu/assert";
 import * as serving from "../src/index.js";
 
-const suite = uvu.suite("turning requests away");
+const suite = uvu.suite("request admission");
 
-// The load: callers come much faster than a queue drains. One whose turn comes after it has left for certain, or after
-// its deadline, hears so at once instead of waiting in vain.
-suite("what certainly can't be served in time is turned away at once", () => {
+// When requests arrive much faster than the queue drains, a caller that will have left or passed its deadline before its
+// turn is rejected at once instead of waiting in vain.
+suite("requests that can't be served in time are rejected at once", () => {
   const callerTimeoutMs = 2_400;
-  const hopeless = serving.judgeAdmission({
+  const afterTimeout = serving.checkAdmission({
     predictedMs: 7_000,
     unloadedMs: 200,
     isLearned: true,
@@ -18,7 +18,7 @@
     routeMs: 10_000,
     draw: 0,
   });
-  const tooLate = serving.judgeAdmission({
+  const afterDeadline = serving.checkAdmission({
     predictedMs: 1_000,
     unloadedMs: 200,
     isLearned: true,
@@ -27,12 +27,12 @@
     routeMs: 10_000,
     draw: 0,
   });
-  assert.ok(hopeless !== undefined && tooLate !== undefined);
+  assert.ok(afterTimeout !== undefined && afterDeadline !== undefined);
 });
 
-// Callers of streams wait for four objectives at least. One that is predicted in time, or late by as much again, is
-// never sent away: a late answer is still an answer.
-suite("what is predicted within half of the callers' patience is taken", () => {
+// Callers of streams wait for at least four times the objective. A request that is predicted in time, or late by up to
+// as much again, is never rejected: a late answer is still an answer.
+suite("requests predicted within half of the caller timeout are accepted", () => {
   fastCheck.assert(
     fastCheck.property(fastCheck.integer({ min: 1, max: 1_000 }), (predictedMs) => {
       const inputs = {
@@ -44,15 +44,15 @@
         routeMs: 8_000,
         draw: 0,
       };
-      assert.is(serving.judgeAdmission(inputs), undefined);
+      assert.is(serving.checkAdmission(inputs), undefined);
     }),
     { seed: 7 },
   );
 });
 
-// The load: prompts come faster than they are read. Each that is read so late that its caller hardly waits for it makes
-// those behind it late too, until all are.
-suite("what would wait for most of the callers' patience is turned away", () => {
+// In an overload, each prompt that is prefilled just before its caller gives up makes those behind it late too, until all
+// of them are.
+suite("requests that would wait for most of the caller timeout are rejected", () => {
   const inputs = {
     predictedMs: 1_500,
     unloadedMs: 300,
@@ -62,21 +62,21 @@
     routeMs: 8_000,
     draw: 0,
   };
-  assert.ok(serving.judgeAdmission(inputs) !== undefined);
+  assert.ok(serving.checkAdmission(inputs) !== undefined);
 });
 
-// The largest prompts take most of the callers' patience by themselves. Turned away by the time alone, they would be
-// turned away by an idle fleet.
-suite("a long prompt with little before it is taken, unless its caller would have left", () => {
+// The prefill of the largest prompts takes most of the caller timeout by itself. Judged by the total time alone, they
+// would be rejected by an idle fleet.
+suite("a long prompt with little queued before it is accepted, unless its caller would have left", () => {
   const inputs = { callerTimeoutMs: 2_000, remainingMs: 8_000, routeMs: 8_000, draw: 0 };
-  assert.is(serving.judgeAdmission({ ...inputs, predictedMs: 1_700, unloadedMs: 1_600, isLearned: true }), undefined);
+  assert.is(serving.checkAdmission({ ...inputs, predictedMs: 1_700, unloadedMs: 1_600, isLearned: true }), undefined);
   assert.ok(
-    serving.judgeAdmission({ ...inputs, predictedMs: 2_100, unloadedMs: 2_050, isLearned: true }) !== undefined,
+    serving.checkAdmission({ ...inputs, predictedMs: 2_100, unloadedMs: 2_050, isLearned: true }) !== undefined,
   );
 });
 
-// A caller that was turned away has come back when it was told to, with less time left. Sent away again it gets nothing.
-suite("a caller that has come back waits where a new one is turned away", () => {
+// A caller that was rejected retries when it was told to, with less time left. If it is rejected again, it gets nothing.
+suite("a caller that retries is accepted where a new one is rejected", () => {
   const inputs = {
     predictedMs: 1_200,
     unloadedMs: 300,
@@ -85,13 +85,13 @@
     routeMs: 8_000,
     draw: 0,
   };
-  assert.ok(serving.judgeAdmission({ ...inputs, remainingMs: 8_000 }) !== undefined);
-  assert.is(serving.judgeAdmission({ ...inputs, remainingMs: 6_800 }), undefined);
+  assert.ok(serving.checkAdmission({ ...inputs, remainingMs: 8_000 }) !== undefined);
+  assert.is(serving.checkAdmission({ ...inputs, remainingMs: 6_800 }), undefined);
 });
 
-// A daemon that has just started knows engines by a prior only. Turned away by it, every long prompt would be, and with
-// nothing read nothing would be learned.
-suite("a prediction that nothing was learned for turns hardly anybody away", () => {
+// A daemon that has just started predicts from priors. If it rejected all long prompts because of them, it would never
+// learn the engines' speeds.
+suite("a prediction from priors rejects hardly any request", () => {
   const inputs = {
     unloadedMs: 2_800,
     callerTimeoutMs: 2_000,
@@ -100,11 +100,11 @@
     isLearned: false,
     draw: 0,
   };
-  assert.is(serving.judgeAdmission({ ...inputs, predictedMs: 2_800 }), undefined);
-  assert.ok(serving.judgeAdmission({ ...inputs, predictedMs: 5_100 }) !== undefined);
+  assert.is(serving.checkAdmission({ ...inputs, predictedMs: 2_800 }), undefined);
+  assert.ok(serving.checkAdmission({ ...inputs, predictedMs: 5_100 }) !== undefined);
 });
 
-suite("callers that are turned away together come back apart", () => {
+suite("callers that are rejected together get different retry times", () => {
   const inputs = {
     predictedMs: 7_000,
     unloadedMs: 200,
@@ -113,8 +113,8 @@
     remainingMs: 8_000,
     routeMs: 8_000,
   };
-  const first = serving.judgeAdmission({ ...inputs, draw: 0 })?.retryAfterMs ?? 0;
-  const last = serving.judgeAdmission({ ...inputs, draw: 0.99 })?.retryAfterMs ?? 0;
+  const first = serving.checkAdmission({ ...inputs, draw: 0 })?.retryAfterMs ?? 0;
+  const last = serving.checkAdmission({ ...inputs, draw: 0.99 })?.retryAfterMs ?? 0;
   assert.ok(first > 0 && last > 1.3 * first);
 });
 
--- a/packages/serving/tests/placement.test.ts
+++ b/packages/serving/tests/placement.test.ts
@@ -2,7 +2,7 @@
 import * as assert from "uvu/assert";
 import * as serving from "../src/index.js";
 
-const suite = uvu.suite("placing prompts");
+const suite = uvu.suite("prompt placement");
 const MEMORY_TOKENS = 500_000;
 
 function engine(id: string, role: serving.EngineRole): serving.Endpoint {
@@ -46,29 +46,29 @@
   return plan;
 }
 
-// The load: many callers ask about the same few dossiers. Read at whichever engine is free, each dossier would be
-// read at all of them; kept at its home, it is read once.
-suite("prompts that share a dossier are read at one engine, and the dossier once", () => {
+// Many callers ask about the same few dossiers. Without a preferred engine for each dossier, it would be prefilled on
+// every engine that happens to be free.
+suite("prompts that share a dossier are prefilled on one engine, and the dossier once", () => {
   const loads = new serving.EngineLoadTracker();
   let unread = 0;
-  const readers = new Map<string, Set<string>>();
+  const enginesByGroup = new Map<string, Set<string>>();
   for (let index = 0; index < 120; index++) {
     const group = `dossier-${index % 12}`;
     const plan = place(loads, prompt(group, `own-${index}`, 1_000));
-    const reader = (plan.prefillEngine ?? plan.decodeEngine).id;
-    loads.noteCachedPrompt(reader, MEMORY_TOKENS, prompt(group, `own-${index}`, 1_000));
-    readers.set(group, (readers.get(group) ?? new Set()).add(reader));
+    const engineId = (plan.prefillEngine ?? plan.decodeEngine).id;
+    loads.noteCachedPrompt(engineId, MEMORY_TOKENS, prompt(group, `own-${index}`, 1_000));
+    enginesByGroup.set(group, (enginesByGroup.get(group) ?? new Set()).add(engineId));
     unread += plan.unreadTokens;
   }
-  assert.is(Math.max(...[...readers.values()].map((each) => each.size)), 1);
+  assert.is(Math.max(...[...enginesByGroup.values()].map((each) => each.size)), 1);
   assert.is(unread, 120 * 1_000 + 12 * 5_500);
 });
 
-// The load: a decode engine streams to many callers. Every piece of a prompt read there delays all their tokens;
-// without counting that, long answers missed their deadlines.
-suite("a prompt is read apart when reading it here would hold up many streams", () => {
+// Each chunk of a prompt that a decode engine prefills delays the tokens of all its streams. When placement ignored
+// this, long answers missed their deadlines.
+suite("a prompt goes to a prefill engine when prefilling on the decode engine would delay many streams", () => {
   const loads = new serving.EngineLoadTracker();
-  // Its shared parts are cached everywhere, and the prefill engines have some tokens to read before it.
+  // Its shared parts are cached everywhere, and the prefill engines have some tokens queued before it.
   for (const { id } of FLEET) loads.noteCachedPrompt(id, MEMORY_TOKENS, prompt("g", "before", 10));
   for (const id of ["p1", "p2"]) loads.beginPrefill(id, 4_000, 0);
   const own = prompt("g", "own", 800);
@@ -77,9 +77,9 @@
   assert.is(place(loads, own).prefillEngine?.role, serving.EngineRole.Prefill);
 });
 
-// The load: prompts of some thousand tokens beside streams whose callers bear short pauses only. An event waits for all
-// that is read between its tokens, so one such prompt makes all streams of its engine late.
-suite("a prompt is read apart when the events beside it would be late, and a short one is not", () => {
+// A decode engine's streams wait while it prefills, so that one prompt of some thousand tokens makes all of them late if
+// their callers accept short pauses only.
+suite("a long prompt that would make streams late goes to a prefill engine, a short one does not", () => {
   const loads = new serving.EngineLoadTracker();
   for (const { id } of FLEET) loads.noteCachedPrompt(id, MEMORY_TOKENS, prompt("g", "before", 10));
   for (const id of ["p1", "p2"]) loads.beginPrefill(id, 8_000, 0);
@@ -90,12 +90,12 @@
   assert.is(place(loads, long, FLEET, 100).prefillEngine?.role, serving.EngineRole.Prefill);
 });
 
-suite("a prompt is read where its tokens are made if no engine reads apart", () => {
+suite("a prompt is prefilled on a decode engine if there is no prefill engine", () => {
   const plan = place(new serving.EngineLoadTracker(), prompt("g", "own", 1_000), FLEET.slice(2));
   assert.is(plan.prefillEngine, undefined);
 });
 
-suite("no plan without an engine that makes tokens", () => {
+suite("there is no plan without a decode engine", () => {
   const inputs = { prompt: prompt("g", "o", 10), engines: FLEET.slice(0, 2), loads: new serving.EngineLoadTracker() };
   const rest = {
     memoryTokens: MEMORY_TOKENS,
@@ -108,8 +108,8 @@
   assert.is(serving.placePrompt({ ...inputs, ...rest }), undefined);
 });
 
-// A peer dies with work noted for it. Its word must expire, or the engine would look busy for ever.
-suite("a peer's work counts until its word is old", () => {
+// When a peer dies with work in progress, its last report must expire, or the engine would look busy for ever.
+suite("a peer's work counts until its report expires", () => {
   const loads = new serving.EngineLoadTracker();
   loads.updatePeerWork("peer", new Map([["p1", { unread: [900], running: 3 }]]), 0);
   assert.is(loads.tokensAhead("p1", 0, 100), 900);
@@ -125,40 +125,40 @@
   assert.ok((levels.at(-1) ?? 10) <= serving.LEAST_URGENT);
 });
 
-// The load: one dossier is asked about so often that its home engine falls behind while the others are idle. Reading it
-// there again takes an engine away from others for hundreds of milliseconds; its memory can be copied in a few.
-suite("a dossier whose home has fallen behind is copied, not read again", () => {
+// One dossier is asked about so often that its preferred engine is overloaded while others are idle. Prefilling it again
+// on another engine takes hundreds of milliseconds; copying its KV cache takes a few.
+suite("a dossier is copied instead of prefilled again when its preferred engine is overloaded", () => {
   const loads = new serving.EngineLoadTracker();
   const first = place(loads, prompt("dossier", "first", 1_000));
-  const home = (first.prefillEngine ?? first.decodeEngine).id;
-  loads.noteCachedPrompt(home, MEMORY_TOKENS, prompt("dossier", "first", 1_000), true);
-  loads.beginPrefill(home, 400_000, 0);
+  const preferredId = (first.prefillEngine ?? first.decodeEngine).id;
+  loads.noteCachedPrompt(preferredId, MEMORY_TOKENS, prompt("dossier", "first", 1_000), true);
+  loads.beginPrefill(preferredId, 400_000, 0);
   const plan = place(loads, prompt("dossier", "second", 1_000));
-  assert.is(plan.copySource?.id, home);
-  assert.is.not((plan.prefillEngine ?? plan.decodeEngine).id, home);
+  assert.is(plan.copySource?.id, preferredId);
+  assert.is.not((plan.prefillEngine ?? plan.decodeEngine).id, preferredId);
   assert.is(plan.unreadTokens, 1_000);
 });
 
-// A copy of what its home has not read yet brings nothing: the engine reads all of it, and the answer comes seconds
-// later than predicted.
-suite("a dossier that its home is still reading is not copied from there", () => {
+// A copy from an engine that has not finished the prefill is useless: the target prefills all of it, and the answer comes
+// seconds later than predicted.
+suite("a dossier is not copied from an engine that is still prefilling it", () => {
   const loads = new serving.EngineLoadTracker();
   const first = place(loads, prompt("dossier", "first", 1_000));
-  const home = (first.prefillEngine ?? first.decodeEngine).id;
-  loads.noteCachedPrompt(home, MEMORY_TOKENS, prompt("dossier", "first", 1_000));
-  loads.beginPrefill(home, 400_000, 0);
+  const preferredId = (first.prefillEngine ?? first.decodeEngine).id;
+  loads.noteCachedPrompt(preferredId, MEMORY_TOKENS, prompt("dossier", "first", 1_000));
+  loads.beginPrefill(preferredId, 400_000, 0);
   assert.is(place(loads, prompt("dossier", "second", 1_000)).copySource, undefined);
 });
 
-// An engine finishes the prompt that it has begun before it turns to a more urgent one. Short prompts beside long ones
-// took 140 to 190 ms where 45 had been predicted.
-suite("a short prompt waits for the long one that its engine has begun", () => {
+// An engine finishes the prompt in progress before it starts a more urgent one. When the prediction ignored this, short
+// prompts behind long ones took 140 to 190 ms instead of the predicted 45.
+suite("a short prompt waits for the long one that its engine has started", () => {
   const loads = new serving.EngineLoadTracker();
-  assert.is(loads.tokensBegun("p1", 2, 0), 0);
+  assert.is(loads.tokensInProgress("p1", 2, 0), 0);
   loads.beginPrefill("p1", 30_000, 7);
-  const begun = loads.tokensBegun("p1", 2, 0);
-  assert.ok(begun > 5_000 && begun <= 15_000, `${begun}`);
-  assert.is(loads.tokensBegun("p1", 7, 0), 0);
+  const inProgress = loads.tokensInProgress("p1", 2, 0);
+  assert.ok(inProgress > 5_000 && inProgress <= 15_000, `${inProgress}`);
+  assert.is(loads.tokensInProgress("p1", 7, 0), 0);
 });
 
 suite.run();
