--- a/packages/serving/src/linearEstimate.ts
+++ b/packages/serving/src/linearEstimate.ts
@@ -13,7 +13,7 @@
 const MIN_PART_OF_PRIOR = 0.01;
 
 /**
- * Errors, in standard deviations, beyond which an observation has no more influence. Work that this daemon doesn't know
+ * Errors, in standard deviations, beyond which a larger error has no more influence. Work that this daemon doesn't know
  * of makes times longer and never shorter, so that long times are trusted less.
  */
 const MAX_ERROR = { longer: 1, shorter: 4 };
--- a/packages/serving/src/roleBalance.ts
+++ b/packages/serving/src/roleBalance.ts
@@ -57,7 +57,10 @@
 /** Share of a decode engine's time that prefills may take: with more of it, long answers miss their deadline. */
 const MAX_PREFILL_SHARE_OF_DECODE = 0.35;
 
-/** Minimum reduction of the queue length by another split: each change makes an engine unavailable for some seconds. */
+/**
+ * Minimum reduction of the queue length by another split, absolute and as a share of the present length: each change
+ * makes an engine unavailable for some seconds.
+ */
 const MIN_IMPROVEMENT = { queueLength: 0.35, share: 0.2 };
 
 /** Utilization above which an overload is assumed: the queue length then grows linearly and steeply. */
