--- a/packages/experiment/src/emulatedDaemon.ts
+++ b/packages/experiment/src/emulatedDaemon.ts
@@ -35,10 +35,10 @@
 /** A daemon's decisions as they serve, driven in virtual time. */
 export class EmulatedDaemon {
   readonly name: string;
-  readonly board = new serving.EngineBoard();
+  readonly board = new serving.EngineLoadTracker();
   readonly speeds = new serving.EngineSpeeds();
   readonly demand = new serving.Demand();
-  readonly sizeShares = new serving.SizeShares();
+  readonly sizeShares = new serving.AcceptanceTracker();
   readonly #health = new serving.EndpointHealth();
   readonly #parts: DaemonParts;
   readonly #random: common.SeededRandom;
@@ -65,7 +65,7 @@
         const pairs = (unreadTokens * (cachedTokens + unreadTokens / 2)) / 1e6;
         const readMs = unreadTokens / engines.tokensPerMs + pairs * engines.pairsMsPerMillion;
         const tookMs = engines.fixedMs + readMs * multiple + 2 * WAY_MS;
-        this.speeds.learnReading(role, { unreadTokens, cachedTokens, tokensWaiting: 0, streams: 0, tookMs });
+        this.speeds.learnPrefill(role, { unreadTokens, cachedTokens, tokensWaiting: 0, streams: 0, tookMs });
       }
     }
     for (let index = 0; index < TAUGHT_PROMPTS; index++) {
@@ -93,13 +93,13 @@
     }
     const limits = {
       kind: kind.name,
-      isLearned: this.speeds.isLearned((plan.reader ?? plan.decoder).role),
-      patienceMs: serving.streamPatienceMs(kind.objectiveMs, kind.pauseMs),
+      isLearned: this.speeds.isLearned((plan.prefillEngine ?? plan.decodeEngine).role),
+      callerTimeoutMs: serving.streamCallerTimeoutMs(kind.objectiveMs, kind.pauseMs),
       remainingMs: course.remainingMs,
       routeMs: kind.deadlineMs,
       draw: this.#random.next(),
     };
-    const readingMs = this.speeds.readMs(serving.EngineRole.Prefill, plan.workTokens);
+    const readingMs = this.speeds.prefillMs(serving.EngineRole.Prefill, plan.workTokens);
     this.demand.add(readingMs, request.prompt, this.#parts.time.now);
     const admitted = serving.admitPrompt(plan, placement, limits, this.sizeShares);
     if (admitted.isOk()) this.#read(request, admitted.value, course);
@@ -108,7 +108,7 @@
 
   #turnAway(course: RequestCourse, rejection: serving.Rejection): void {
     const { comeBack, time } = this.#parts;
-    const { returnAfterMs } = rejection;
+    const { retryAfterMs: returnAfterMs } = rejection;
     if (!course.mayReturn || returnAfterMs > course.remainingMs * LONGEST_RETURN_SHARE) {
       course.end(outcomes.Ending.Refused);
       return;
@@ -120,27 +120,27 @@
   #read(request: loads.LoadRequest, plan: serving.EnginePlan, course: RequestCourse): void {
     const { time, description } = this.#parts;
     const { prompt } = request;
-    const endpoint = plan.reader ?? plan.decoder;
+    const endpoint = plan.prefillEngine ?? plan.decodeEngine;
     const engine = this.#engine(endpoint.id);
     const { memoryTokens } = description.engines;
-    this.board.noteRead(endpoint.id, memoryTokens, prompt);
-    const pending = this.board.beginRead(endpoint.id, plan.workTokens, plan.level);
-    this.board.beginRun(endpoint.id);
+    this.board.noteCachedPrompt(endpoint.id, memoryTokens, prompt);
+    const pending = this.board.beginPrefill(endpoint.id, plan.workTokens, plan.urgency);
+    this.board.beginRequest(endpoint.id);
     const sentAt = time.now;
     const finish = (): void => {
-      this.board.endRead(pending);
-      this.board.endRun(endpoint.id);
+      this.board.endPrefill(pending);
+      this.board.endRequest(endpoint.id);
     };
     const onRead = (): void => {
       finish();
-      this.board.noteRead(endpoint.id, memoryTokens, prompt, true);
+      this.board.noteCachedPrompt(endpoint.id, memoryTokens, prompt, true);
       this.#learnRead(plan, endpoint, prompt, time.now - sentAt);
       if (course.over) return;
-      if (plan.reader === undefined) this.#stream(engine, request, course);
+      if (plan.prefillEngine === undefined) this.#stream(engine, request, course);
       else this.#handOver(request, course);
     };
     const copySource = plan.copySource === undefined ? undefined : this.#engine(plan.copySource.id);
-    const job = { prompt, urgency: plan.level, copySource, onRead };
+    const job = { prompt, urgency: plan.urgency, copySource, onRead };
     course.onLeft = () => {
       if (engine.cancel(job)) finish();
     };
@@ -149,7 +149,7 @@
 
   #handOver(request: loads.LoadRequest, course: RequestCourse): void {
     const { time } = this.#parts;
-    const decoder = serving.placeDecoder(this.#inputs(request), undefined);
+    const decoder = serving.chooseDecodeEngine(this.#inputs(request), undefined);
     if (decoder === undefined) {
       course.end(outcomes.Ending.Refused);
       return;
@@ -163,13 +163,13 @@
   }
 
   #stream(engine: emulatedEngines.EmulatedEngine, request: loads.LoadRequest, course: RequestCourse): void {
-    this.board.beginRun(engine.id);
+    this.board.beginRequest(engine.id);
     engine.stream({
       events: request.events,
       onEvent: (pauseMs) => course.noteEvent(pauseMs),
       onEnd: () => {
         if (course.meanPauseMs !== undefined) this.speeds.learnPause(engine.streams, course.meanPauseMs);
-        this.board.endRun(engine.id);
+        this.board.endRequest(engine.id);
         this.demand.learnEvents(request.prompt.outputTokens, request.events);
         course.end(outcomes.Ending.Answered);
       },
@@ -179,11 +179,11 @@
   #learnRead(plan: serving.EnginePlan, endpoint: serving.Endpoint, prompt: serving.Prompt, tookMs: number): void {
     this.#health.recordTime(endpoint.id, plan.predictedMs, tookMs);
     if (plan.copySource !== undefined) return;
-    this.speeds.observeReading(endpoint.role, {
+    this.speeds.learnLocalPrefill(endpoint.role, {
       unreadTokens: plan.unreadTokens,
       cachedTokens: Math.max(0, prompt.promptTokens - plan.unreadTokens),
       tokensWaiting: plan.tokensWaiting,
-      streams: this.board.running(endpoint.id, this.#parts.time.now),
+      streams: this.board.runningRequests(endpoint.id, this.#parts.time.now),
       tookMs,
     });
   }
@@ -193,12 +193,12 @@
     return {
       prompt,
       engines: this.#ownEngines(fleet.endpoints()),
-      board: this.board,
+      loads: this.board,
       memoryTokens: description.engines.memoryTokens,
       speeds: this.speeds,
       slowness: (id) => this.#health.slowness(id),
       dataCentre: "a",
-      pauseAimMs: description.pausesIgnored === true ? Number.POSITIVE_INFINITY : kind.pauseMs,
+      maxPauseMs: description.pausesIgnored === true ? Number.POSITIVE_INFINITY : kind.pauseMs,
       now: time.now,
     };
   }
@@ -275,7 +275,7 @@
   #wait(): void {
     const tried = this.#tries;
     const { objectiveMs, pauseMs } = this.request.kind;
-    const patienceMs = Math.min(this.remainingMs, serving.streamPatienceMs(objectiveMs, pauseMs));
+    const patienceMs = Math.min(this.remainingMs, serving.streamCallerTimeoutMs(objectiveMs, pauseMs));
     this.#time.after(patienceMs, () => {
       if (this.#over || this.#firstMs !== undefined || this.#tries !== tried) return;
       this.onLeft();
--- a/packages/experiment/src/experiment.ts
+++ b/packages/experiment/src/experiment.ts
@@ -124,17 +124,17 @@
     const said = this.#daemons.map(({ name, board, sizeShares, speeds }) => ({
       name,
       work: board.ownWork(),
-      reads: board.takeUntoldReads(),
-      observations: speeds.takeUntold(),
-      sizes: sizeShares.takeUntold(),
+      reads: board.takeUnsentReads(),
+      observations: speeds.takeUnsentObservations(),
+      sizes: sizeShares.takeUnsentCounts(),
     }));
     for (const daemon of this.#daemons) {
       for (const { name, work, reads, observations, sizes } of said) {
         if (name === daemon.name) continue;
-        daemon.board.hear(name, work, now);
-        for (const read of reads) daemon.board.hearRead(read);
-        for (const count of sizes) daemon.sizeShares.hear(count, now);
-        for (const { role, observation } of observations) daemon.speeds.learnReading(role, observation);
+        daemon.board.updatePeerWork(name, work, now);
+        for (const read of reads) daemon.board.notePeerRead(read);
+        for (const count of sizes) daemon.sizeShares.addPeerCount(count, now);
+        for (const { role, observation } of observations) daemon.speeds.learnPrefill(role, observation);
       }
     }
     this.#time.after(this.#description.viewAgeMs, () => this.#tell());
@@ -148,14 +148,14 @@
         engines: this.#engines.map((engine) => ({
           id: engine.id,
           role: engine.away ? (this.#rolesToCome.get(engine.id) ?? engine.role) : engine.role,
-          running: first.board.running(engine.id, now),
+          running: first.board.runningRequests(engine.id, now),
           slots: this.#description.engines.slots,
           changing: engine.away,
         })),
         readingLoad: this.#daemons.reduce((sum, daemon) => sum + daemon.demand.readingLoad(now), 0),
         eventsPerMs: this.#daemons.reduce((sum, daemon) => sum + daemon.demand.eventsPerMs(now), 0),
         speeds: first.speeds,
-        streamsInMemory: this.#description.engines.memoryTokens / (first.demand.meanPromptTokens(now) ?? 1),
+        streamCapacity: this.#description.engines.memoryTokens / (first.demand.meanPromptTokens(now) ?? 1),
         now,
       });
       if (change !== undefined) this.#change(change);
@@ -166,7 +166,7 @@
   #change(change: serving.RoleChange): void {
     this.#engines.find((engine) => engine.id === change.endpointId)?.change(change.role);
     this.#rolesToCome.set(change.endpointId, change.role);
-    this.#balance.changed(this.#time.now, change.role);
+    this.#balance.recordChange(this.#time.now, change.role);
     this.#roleChanges++;
   }
 }
--- a/packages/gateway/src/activeSend.ts
+++ b/packages/gateway/src/activeSend.ts
@@ -24,7 +24,7 @@
   readonly sentAt: number;
   readonly #context: contexts.ServingContext;
   readonly #silence: silenceWatches.SilenceWatch;
-  #read: serving.PendingRead | undefined;
+  #read: serving.PendingPrefill | undefined;
   #sending: sendings.Sending | undefined;
   #begun = false;
 
@@ -45,7 +45,8 @@
     this.plan = planned.plan;
     this.sentAt = performance.now();
     const { plan, endpoint } = planned;
-    this.#read = plan === undefined ? undefined : context.board.beginRead(endpoint.id, plan.workTokens, plan.level);
+    this.#read =
+      plan === undefined ? undefined : context.board.beginPrefill(endpoint.id, plan.workTokens, plan.urgency);
     this.#silence = new silenceWatches.SilenceWatch(context, served, planned, this.sentAt);
   }
 
@@ -75,7 +76,7 @@
     receiver: sendings.AnswerReceiver,
     onSilent: (silentMs: number) => void,
   ): void {
-    this.#context.board.beginRun(this.endpoint.id);
+    this.#context.board.beginRequest(this.endpoint.id);
     this.#silence.start(onSilent);
     this.#sending = this.#context.client.send(this.endpoint, message, receiver);
   }
@@ -87,7 +88,7 @@
    */
   endRead(): boolean {
     if (this.#read === undefined) return false;
-    this.#context.board.endRead(this.#read);
+    this.#context.board.endPrefill(this.#read);
     this.#read = undefined;
     this.#begun = true;
     return true;
@@ -118,7 +119,7 @@
   /** The send is over: its work is taken off the endpoint. */
   release(): void {
     this.endRead();
-    this.#context.board.endRun(this.endpoint.id);
+    this.#context.board.endRequest(this.endpoint.id);
     this.#silence.stop();
   }
 }
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -16,14 +16,14 @@
   readonly metrics: metricsModule.Metrics;
   readonly format: ports.MessageFormat;
   readonly view: fleetViews.FleetView;
-  readonly board: serving.EngineBoard;
+  readonly board: serving.EngineLoadTracker;
   readonly health: serving.EndpointHealth;
   /** What is known of the speed of each service's engines. */
   readonly speeds: serving.ServiceSpeeds;
   /** What own requests' prompts ask of the engines. */
   readonly demand: serving.Demand;
   /** How often prompts are taken, by their size. */
-  readonly sizeShares: serving.SizeShares;
+  readonly sizeShares: serving.AcceptanceTracker;
   readonly client: endpointClients.EndpointClient;
   /** Tells which endpoints have ended, and under what. */
   readonly endDetector: endpointEndDetectors.EndpointEndDetector;
--- a/packages/gateway/src/endpointLessons.ts
+++ b/packages/gateway/src/endpointLessons.ts
@@ -47,14 +47,14 @@
       ahead: active.plan?.tokensAhead,
       waiting: active.plan?.tokensWaiting,
       prompt: this.#served.caller.headers.prompt?.promptTokens,
-      urgency: active.plan?.level,
-      running: this.#context.board.running(active.endpoint.id, now),
+      urgency: active.plan?.urgency,
+      running: this.#context.board.runningRequests(active.endpoint.id, now),
       predictedMs: Math.round(active.predictedMs),
       leftAfterMs: active.departure.leftAfterMs,
       tookMs: Math.round(tookMs),
       slowness: this.#context.health.slowness(active.endpoint.id).toFixed(2),
-      tokensPerMs: this.#speeds().figures(active.endpoint.role).tokensPerMs.toFixed(1),
-      learnedFrom: this.#speeds().figures(active.endpoint.role).observations,
+      tokensPerMs: this.#speeds().prefillEstimate(active.endpoint.role).tokensPerMs.toFixed(1),
+      learnedFrom: this.#speeds().prefillEstimate(active.endpoint.role).observations,
     });
   }
 
@@ -81,7 +81,7 @@
     const { prompt } = this.#served.caller.headers;
     if (prompt !== undefined) this.#context.demand.learnEvents(prompt.outputTokens, events);
     if (meanPauseMs === undefined || this.#served.sends > 1 || !this.#isOfThisLife(active)) return;
-    const streams = this.#context.board.running(active.endpoint.id, performance.now());
+    const streams = this.#context.board.runningRequests(active.endpoint.id, performance.now());
     this.#speeds().learnPause(streams, meanPauseMs);
   }
 
@@ -90,7 +90,7 @@
     const { prompt } = this.#served.caller.headers;
     const memoryTokens = this.#context.view.table?.service(this.#served.service)?.engine?.memoryTokens;
     if (prompt === undefined || memoryTokens === undefined) return;
-    this.#context.board.noteRead(active.endpoint.id, memoryTokens, prompt, true);
+    this.#context.board.noteCachedPrompt(active.endpoint.id, memoryTokens, prompt, true);
   }
 
   #learnReading(active: activeSends.ActiveSend, tookMs: number, now: number): void {
@@ -99,11 +99,11 @@
     if (plan === undefined || prompt === undefined) return;
     // How much a copy brought isn't known: the engine may have had to read all of it.
     if (plan.copySource !== undefined) return;
-    this.#speeds().observeReading(endpoint.role, {
+    this.#speeds().learnLocalPrefill(endpoint.role, {
       unreadTokens: plan.unreadTokens,
       cachedTokens: Math.max(0, prompt.promptTokens - plan.unreadTokens),
       tokensWaiting: plan.tokensWaiting,
-      streams: this.#context.board.running(endpoint.id, now),
+      streams: this.#context.board.runningRequests(endpoint.id, now),
       tookMs,
     });
   }
--- a/packages/gateway/src/peerLink.ts
+++ b/packages/gateway/src/peerLink.ts
@@ -40,10 +40,10 @@
   readonly settings: settingsModule.GatewaySettings;
   readonly entry: daemonEntries.DaemonEntry;
   readonly view: fleetViews.FleetView;
-  readonly board: serving.EngineBoard;
+  readonly board: serving.EngineLoadTracker;
   readonly demand: serving.Demand;
   readonly speeds: serving.ServiceSpeeds;
-  readonly sizeShares: serving.SizeShares;
+  readonly sizeShares: serving.AcceptanceTracker;
   readonly suspects: serving.SuspectTable;
   readonly log: decisionLogs.DecisionLog;
   readonly ready: () => boolean;
@@ -152,7 +152,7 @@
     const now = performance.now();
     const hasChanged = this.standing.look(now);
     const audience = this.#audience(now);
-    const news = this.#parts.board.hasUntoldReads || this.#workText() !== this.#saidWork;
+    const news = this.#parts.board.hasUnsentReads || this.#workText() !== this.#saidWork;
     this.#say(now, audience, {
       often: hasChanged || news || now - this.#saidAt.often >= QUIET_PULSE_MS,
       seldom: hasChanged || now - this.#saidAt.seldom >= this.#seldomPulseMs,
--- a/packages/gateway/src/peerWork.ts
+++ b/packages/gateway/src/peerWork.ts
@@ -16,10 +16,10 @@
 /** What daemons tell each other about is kept in. */
 export interface PeerWorkParts {
   readonly view: fleetViews.FleetView;
-  readonly board: serving.EngineBoard;
+  readonly board: serving.EngineLoadTracker;
   readonly demand: serving.Demand;
   readonly speeds: serving.ServiceSpeeds;
-  readonly sizeShares: serving.SizeShares;
+  readonly sizeShares: serving.AcceptanceTracker;
 }
 
 /** The fields of a pulse that are about the engines' work. */
@@ -60,7 +60,7 @@
       ),
       reads: this.#readMessages(),
       observations: this.#observationMessages(),
-      sizes: this.#parts.sizeShares.takeUntold().map((count) => protobuf.create(messages.SizeCountSchema, count)),
+      sizes: this.#parts.sizeShares.takeUnsentCounts().map((count) => protobuf.create(messages.SizeCountSchema, count)),
       readingLoadThousandths: wholeNumber(demand.readingLoad(now) * THOUSANDTHS),
       eventsPerSecond: wholeNumber(demand.eventsPerMs(now) * MS_PER_SECOND),
     };
@@ -74,18 +74,18 @@
   hear(pulse: messages.Pulse, now: number, validMs: number): void {
     const { board, view } = this.#parts;
     const work = pulse.work.map(({ endpoint, unread, running }) => [endpoint, { unread, running }] as const);
-    board.hear(pulse.vm, new Map(work), now, validMs);
+    board.updatePeerWork(pulse.vm, new Map(work), now, validMs);
     for (const { endpoint, model, part, tokens, startedAtMs, isRead } of pulse.reads) {
       if (toldLives.isOfAnotherLife(view, endpoint, toldLives.fromMessage(startedAtMs))) continue;
-      board.hearRead({ endpointId: endpoint, model, part: { id: part, tokens }, isRead });
+      board.notePeerRead({ endpointId: endpoint, model, part: { id: part, tokens }, isRead });
     }
     this.#learn(pulse.observations);
-    for (const count of pulse.sizes) this.#parts.sizeShares.hear(count, now);
+    for (const count of pulse.sizes) this.#parts.sizeShares.addPeerCount(count, now);
   }
 
   #readMessages(): messages.PartRead[] {
     const { board, view } = this.#parts;
-    return board.takeUntoldReads().map(({ endpointId, model, part, isRead }) =>
+    return board.takeUnsentReads().map(({ endpointId, model, part, isRead }) =>
       protobuf.create(messages.PartReadSchema, {
         endpoint: endpointId,
         model,
@@ -99,7 +99,7 @@
 
   #observationMessages(): messages.ReadObservation[] {
     return [...this.#parts.speeds.all()].flatMap(([service, speeds]) =>
-      speeds.takeUntold().map(({ role, observation }) =>
+      speeds.takeUnsentObservations().map(({ role, observation }) =>
         protobuf.create(messages.ReadObservationSchema, {
           service,
           role,
@@ -116,7 +116,7 @@
   #learn(observations: readonly messages.ReadObservation[]): void {
     for (const { service, role, ...observation } of observations) {
       const known = Object.values(serving.EngineRole).find((each) => each === role);
-      if (known !== undefined) this.#parts.speeds.of(service).learnReading(known, observation);
+      if (known !== undefined) this.#parts.speeds.of(service).learnPrefill(known, observation);
     }
   }
 }
--- a/packages/gateway/src/roleChanger.ts
+++ b/packages/gateway/src/roleChanger.ts
@@ -65,7 +65,7 @@
    * @param agoMs - how long ago it was made, in milliseconds
    */
   changed(service: string, role: serving.EngineRole, agoMs: number): void {
-    this.#balance(service).changed(performance.now() - agoMs, role);
+    this.#balance(service).recordChange(performance.now() - agoMs, role);
   }
 
   /** @param endpointId - an endpoint that is gone */
@@ -96,7 +96,7 @@
     const engines = view.directory.serving(service).map((engine) => ({
       id: engine.id,
       role: view.roleToCome(engine, now),
-      running: board.running(engine.id, now),
+      running: board.runningRequests(engine.id, now),
       slots: engine.slots,
       changing: view.isChanging(engine, now),
       failedAt: this.#failedAt.get(engine.id),
@@ -106,7 +106,7 @@
       readingLoad: this.#parts.readingLoad(),
       eventsPerMs: this.#parts.eventsPerMs(),
       speeds: speeds.of(service),
-      streamsInMemory: limits.memoryTokens / Math.max(1, demand.meanPromptTokens(now) ?? 1),
+      streamCapacity: limits.memoryTokens / Math.max(1, demand.meanPromptTokens(now) ?? 1),
       now,
     });
   }
@@ -119,7 +119,7 @@
     const seen = `${wanted} ${urgent} ${prefill} ${decode}`;
     if (this.#loggedOutlooks.get(service) === seen) return;
     this.#loggedOutlooks.set(service, seen);
-    const { heldMs, restMs } = outlook;
+    const { heldMs, cooldownMs: restMs } = outlook;
     this.#parts.context.log.info("role-outlook", {
       service,
       wanted,
@@ -175,7 +175,7 @@
       token: order.token,
       expectedOrders: order.expectedOrders,
       readingLoad: change.readingLoad.toFixed(2),
-      streamsEach: change.streamsEach.toFixed(1),
+      streamsEach: change.streamsPerEngine.toFixed(1),
       status: status ?? "no answer",
     });
     context.metrics.count("role_orders");
--- a/packages/gateway/src/sendChooser.ts
+++ b/packages/gateway/src/sendChooser.ts
@@ -70,7 +70,7 @@
     const now = performance.now();
     const able = this.#candidates(definition)
       .filter((endpoint) => endpoint.role !== serving.EngineRole.Prefill && !endDetector.hasEnded(endpoint, now))
-      .sort((left, right) => board.running(left.id, now) - board.running(right.id, now));
+      .sort((left, right) => board.runningRequests(left.id, now) - board.runningRequests(right.id, now));
     const [emptiest, another] = able;
     if (emptiest === undefined || another === undefined) return neverthrow.err({ reason: "no-spare-endpoint" });
     if (definition?.engine === undefined || prompt === undefined) return answeringAt(emptiest, "no-endpoint");
@@ -95,7 +95,7 @@
     const { board, health, random, settings } = this.#context;
     const endpoint = serving.leastBusy({
       endpoints: this.#candidates(definition),
-      board,
+      loads: board,
       health,
       dataCentre: settings.dataCentre,
       draw: () => random.next(),
@@ -113,7 +113,7 @@
     const engines = this.#candidates(definition);
     if (promptReader === undefined) return this.#placeOn(engines, definition, engine, prompt);
     const inputs = this.#placementInputs(engines, definition, engine, prompt);
-    return answeringAt(serving.placeDecoder(inputs, promptReader), "no-engine");
+    return answeringAt(serving.chooseDecodeEngine(inputs, promptReader), "no-engine");
   }
 
   #placementInputs(
@@ -126,12 +126,12 @@
     return {
       prompt,
       engines,
-      board,
+      loads: board,
       memoryTokens: engine.memoryTokens,
       speeds: speeds.of(definition.name),
       slowness: (id) => health.slowness(id),
       dataCentre: settings.dataCentre,
-      pauseAimMs: this.#served.route.pauseMs,
+      maxPauseMs: this.#served.route.pauseMs,
       now: performance.now(),
     };
   }
@@ -148,18 +148,18 @@
     this.#noteDemand(placed, prompt);
     const admitted = this.#admit(placed, inputs);
     if (admitted.isErr()) {
-      return neverthrow.err({ reason: "overloaded", returnAfterMs: admitted.error.returnAfterMs });
+      return neverthrow.err({ reason: "overloaded", returnAfterMs: admitted.error.retryAfterMs });
     }
     const plan = admitted.value;
-    const reader = plan.reader ?? plan.decoder;
-    this.#context.board.noteRead(reader.id, engine.memoryTokens, prompt);
-    const stage = plan.reader === undefined ? Stage.Answering : Stage.Reading;
+    const reader = plan.prefillEngine ?? plan.decodeEngine;
+    this.#context.board.noteCachedPrompt(reader.id, engine.memoryTokens, prompt);
+    const stage = plan.prefillEngine === undefined ? Stage.Answering : Stage.Reading;
     return neverthrow.ok({ endpoint: reader, stage, predictedMs: plan.predictedMs, plan });
   }
 
   #noteDemand(plan: serving.EnginePlan, prompt: serving.Prompt): void {
     const { demand, speeds } = this.#context;
-    const readingMs = speeds.of(this.#served.service).readMs(serving.EngineRole.Prefill, plan.workTokens);
+    const readingMs = speeds.of(this.#served.service).prefillMs(serving.EngineRole.Prefill, plan.workTokens);
     demand.add(readingMs, prompt, performance.now());
   }
 
@@ -173,32 +173,32 @@
     if (sends > 0 || mayHaveRun) return neverthrow.ok(plan);
     const limits: serving.PromptLimits = {
       kind: route.name,
-      isLearned: speeds.of(this.#served.service).isLearned((plan.reader ?? plan.decoder).role),
-      patienceMs: serving.streamPatienceMs(route.objectiveMs, route.pauseMs),
+      isLearned: speeds.of(this.#served.service).isLearned((plan.prefillEngine ?? plan.decodeEngine).role),
+      callerTimeoutMs: serving.streamCallerTimeoutMs(route.objectiveMs, route.pauseMs),
       remainingMs,
       routeMs: route.timeoutMs,
       draw: random.next(),
     };
     const admitted = serving.admitPrompt(plan, placement, limits, sizeShares);
     if (admitted.isErr()) this.#logTurnedAway(plan, limits, admitted.error);
-    else if (admitted.value.level !== plan.level) this.#logMovedUp(plan, admitted.value);
+    else if (admitted.value.urgency !== plan.urgency) this.#logMovedUp(plan, admitted.value);
     return admitted;
   }
 
   #logTurnedAway(plan: serving.EnginePlan, limits: serving.PromptLimits, rejection: serving.Rejection): void {
     const tokens = this.#served.caller.headers.prompt?.promptTokens ?? 0;
-    const shares = this.#context.sizeShares.taken(limits.kind, tokens, performance.now());
+    const shares = this.#context.sizeShares.acceptanceRates(limits.kind, tokens, performance.now());
     this.#context.log.info("turned-away", {
       id: this.#served.id,
       predictedMs: Math.round(plan.predictedMs),
-      aloneMs: Math.round(plan.aloneMs),
+      aloneMs: Math.round(plan.unloadedMs),
       isLearned: limits.isLearned,
       remainingMs: Math.round(limits.remainingMs),
       unread: plan.unreadTokens,
       ahead: Math.round(plan.tokensAhead),
       takenOfSize: shares.ofSize.toFixed(2),
       takenOfAll: shares.ofAll.toFixed(2),
-      returnAfterMs: Math.round(rejection.returnAfterMs),
+      returnAfterMs: Math.round(rejection.retryAfterMs),
     });
   }
 
@@ -206,8 +206,8 @@
     this.#context.log.info("moved-up", {
       id: this.#served.id,
       unread: from.unreadTokens,
-      urgency: from.level,
-      toUrgency: to.level,
+      urgency: from.urgency,
+      toUrgency: to.urgency,
       predictedMs: Math.round(from.predictedMs),
       thenMs: Math.round(to.predictedMs),
     });
--- a/packages/gateway/tests/helpers/exchangeStand.ts
+++ b/packages/gateway/tests/helpers/exchangeStand.ts
@@ -191,11 +191,11 @@
       metrics: new metricsModule.Metrics(),
       format: FORMAT,
       view,
-      board: new serving.EngineBoard(),
+      board: new serving.EngineLoadTracker(),
       health: new serving.EndpointHealth(),
       speeds: new serving.ServiceSpeeds(),
       demand: new serving.Demand(),
-      sizeShares: new serving.SizeShares(),
+      sizeShares: new serving.AcceptanceTracker(),
       client: this.#client,
       endDetector: new endpointEndDetectors.EndpointEndDetector({
         log: new decisionLogs.DecisionLog("vm-1", "info", sink),
@@ -232,7 +232,7 @@
   slowDecoding(): void {
     const observation = { unreadTokens: 1_000, cachedTokens: 0, tokensWaiting: 0, streams: 0, tookMs: 5_000 };
     for (let index = 0; index < OBSERVATIONS; index++) {
-      this.#context.speeds.of("service").learnReading(serving.EngineRole.Decode, observation);
+      this.#context.speeds.of("service").learnPrefill(serving.EngineRole.Decode, observation);
     }
   }
 
