--- a/packages/gateway/src/callerListener.ts
+++ b/packages/gateway/src/callerListener.ts
@@ -132,7 +132,7 @@
   }
 
   /** From now on no connection is taken. */
-  closeDoor(): void {
+  stopAccepting(): void {
     if (this.#doorClosed) return;
     this.#doorClosed = true;
     this.#context.log.info("refusing", { open: this.#open });
--- a/packages/gateway/tests/helpers/stopModel.ts
+++ b/packages/gateway/tests/helpers/stopModel.ts
@@ -115,7 +115,7 @@
     return Number(isOpen) + Number(this.#scenario.isBusy);
   }
 
-  closeDoor(): void {
+  stopAccepting(): void {
     if (this.doorIsClosed) return;
     this.doorIsClosed = true;
     this.#closedAt = this.#now;
--- a/packages/serving/src/plannedStop.ts
+++ b/packages/serving/src/plannedStop.ts
@@ -56,7 +56,7 @@
   /** Whether no connection is accepted any more. */
   readonly doorIsClosed: boolean;
   /** Accepts no connection from now on. */
-  closeDoor(): void;
+  stopAccepting(): void;
   /** Gives what has not left for an endpoint its final answer. */
   endUnsent(): void;
   /** Gives each request whose answer has not begun its final answer. */
@@ -127,7 +127,7 @@
     const { openRequests: open, lastRequestAt } = listener;
     const isOver = this.isOver({ open, lastRequestAt }, now);
     if (isOver && mayEnd) return true;
-    if (isOver || this.closesDoor(now)) listener.closeDoor();
+    if (isOver || this.closesDoor(now)) listener.stopAccepting();
     return false;
   }
 
