--- a/packages/gateway/src/callerListener.ts
+++ b/packages/gateway/src/callerListener.ts
@@ -127,7 +127,7 @@
   }
 
   /** @returns whether no connection is taken any more */
-  get doorIsClosed(): boolean {
+  get hasStoppedAccepting(): boolean {
     return this.#doorClosed;
   }
 
--- a/packages/gateway/tests/helpers/stopModel.ts
+++ b/packages/gateway/tests/helpers/stopModel.ts
@@ -98,7 +98,7 @@
   #acceptedWhileStopping = false;
   #deadlineDue = false;
   #isOver = false;
-  doorIsClosed = false;
+  hasStoppedAccepting = false;
   #closedAt = Infinity;
   lastRequestAt = -Infinity;
 
@@ -116,8 +116,8 @@
   }
 
   stopAccepting(): void {
-    if (this.doorIsClosed) return;
-    this.doorIsClosed = true;
+    if (this.hasStoppedAccepting) return;
+    this.hasStoppedAccepting = true;
     this.#closedAt = this.#now;
   }
 
--- a/packages/serving/src/plannedStop.ts
+++ b/packages/serving/src/plannedStop.ts
@@ -54,7 +54,7 @@
   /** Instant of the last request, in milliseconds. */
   readonly lastRequestAt: number;
   /** Whether no connection is accepted any more. */
-  readonly doorIsClosed: boolean;
+  readonly hasStoppedAccepting: boolean;
   /** Accepts no connection from now on. */
   stopAccepting(): void;
   /** Gives what has not left for an endpoint its final answer. */
@@ -121,7 +121,7 @@
    */
   step(listener: StoppableListener, now: number): boolean {
     this.look(now);
-    const mayEnd = listener.doorIsClosed;
+    const mayEnd = listener.hasStoppedAccepting;
     if (this.endsUnsent(now)) listener.endUnsent();
     if (this.endsUnbegun(now)) listener.endUnbegun();
     const { openRequests: open, lastRequestAt } = listener;
