--- a/packages/gateway/src/callerListener.ts
+++ b/packages/gateway/src/callerListener.ts
@@ -144,7 +144,7 @@
    * There is no time left to run anything: what has not left for an endpoint is told so, and never leaves. So is what
    * is still being read; its connection would break without a word when the process ends.
    */
-  endUnsent(): void {
+  endUnsentRequests(): void {
     for (const answer of this.#unread) this.#refuseStopping(answer);
     for (const exchange of [...this.#taken]) if (exchange.isUnsent) exchange.endNow(ENDED_BY_STOP);
   }
--- a/packages/gateway/tests/helpers/stopModel.ts
+++ b/packages/gateway/tests/helpers/stopModel.ts
@@ -121,7 +121,7 @@
     this.#closedAt = this.#now;
   }
 
-  endUnsent(): void {
+  endUnsentRequests(): void {
     if (this.#state === State.ReadingBody || this.#state === State.Accepted) this.#end(Outcome.Rejected);
   }
 
@@ -224,7 +224,7 @@
   }
 
   #endOpen(): void {
-    this.endUnsent();
+    this.endUnsentRequests();
     this.endUnbegun();
     if (this.#state === State.Running) this.#end(Outcome.Cut);
   }
--- a/packages/serving/src/plannedStop.ts
+++ b/packages/serving/src/plannedStop.ts
@@ -58,7 +58,7 @@
   /** Accepts no connection from now on. */
   stopAccepting(): void;
   /** Gives what has not left for an endpoint its final answer. */
-  endUnsent(): void;
+  endUnsentRequests(): void;
   /** Gives each request whose answer has not begun its final answer. */
   endUnbegun(): void;
 }
@@ -122,7 +122,7 @@
   step(listener: StoppableListener, now: number): boolean {
     this.look(now);
     const mayEnd = listener.hasStoppedAccepting;
-    if (this.endsUnsent(now)) listener.endUnsent();
+    if (this.endsUnsent(now)) listener.endUnsentRequests();
     if (this.endsUnbegun(now)) listener.endUnbegun();
     const { openRequests: open, lastRequestAt } = listener;
     const isOver = this.isOver({ open, lastRequestAt }, now);
