--- a/packages/gateway/src/callerListener.ts
+++ b/packages/gateway/src/callerListener.ts
@@ -150,7 +150,7 @@
   }
 
   /** There is no time left for an answer to begin: each request without one gets its true final answer. */
-  endUnbegun(): void {
+  endUnstartedResponses(): void {
     for (const exchange of [...this.#taken]) if (!exchange.answerHasBegun) exchange.endNow(ENDED_BY_STOP);
   }
 
--- a/packages/gateway/tests/helpers/stopModel.ts
+++ b/packages/gateway/tests/helpers/stopModel.ts
@@ -125,7 +125,7 @@
     if (this.#state === State.ReadingBody || this.#state === State.Accepted) this.#end(Outcome.Rejected);
   }
 
-  endUnbegun(): void {
+  endUnstartedResponses(): void {
     if (this.#state === State.Running && !this.#hasBegun) this.#end(Outcome.Failed);
   }
 
@@ -225,7 +225,7 @@
 
   #endOpen(): void {
     this.endUnsentRequests();
-    this.endUnbegun();
+    this.endUnstartedResponses();
     if (this.#state === State.Running) this.#end(Outcome.Cut);
   }
 
--- a/packages/serving/src/plannedStop.ts
+++ b/packages/serving/src/plannedStop.ts
@@ -60,7 +60,7 @@
   /** Gives what has not left for an endpoint its final answer. */
   endUnsentRequests(): void;
   /** Gives each request whose answer has not begun its final answer. */
-  endUnbegun(): void;
+  endUnstartedResponses(): void;
 }
 
 /** When a daemon was told to stop. */
@@ -123,7 +123,7 @@
     this.look(now);
     const mayEnd = listener.hasStoppedAccepting;
     if (this.endsUnsent(now)) listener.endUnsentRequests();
-    if (this.endsUnbegun(now)) listener.endUnbegun();
+    if (this.endsUnbegun(now)) listener.endUnstartedResponses();
     const { openRequests: open, lastRequestAt } = listener;
     const isOver = this.isOver({ open, lastRequestAt }, now);
     if (isOver && mayEnd) return true;
