--- a/packages/gateway/src/callerListener.ts
+++ b/packages/gateway/src/callerListener.ts
@@ -60,7 +60,7 @@
   readonly #longWaiting = new WeakSet<stream.Duplex>();
   /** Instant of the last request of each connection, in milliseconds. */
   readonly #readAt = new WeakMap<stream.Duplex, number>();
-  #plannedStop: serving.PlannedStop | undefined;
+  #plannedStop: serving.GracefulShutdown | undefined;
   #doorClosed = false;
   #open = 0;
   #lastRequestAt = 0;
@@ -122,7 +122,7 @@
    *
    * @param plannedStop - what is still taken
    */
-  beginStop(plannedStop: serving.PlannedStop): void {
+  beginStop(plannedStop: serving.GracefulShutdown): void {
     this.#plannedStop = plannedStop;
   }
 
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -286,7 +286,7 @@
     this.#stopping = true;
     const heardAt = performance.now();
     const earliestAt = this.#loopWatch.signalledFrom();
-    const plannedStop = new serving.PlannedStop({ earliestAt, heardAt, graceMs: this.#settings.stopGraceMs });
+    const plannedStop = new serving.GracefulShutdown({ earliestAt, heardAt, graceMs: this.#settings.stopGraceMs });
     const heardLateMs = Math.round(heardAt - earliestAt);
     this.#log.info("stop", { open: this.#listener.openRequests, heardLateMs });
     this.#listener.beginStop(plannedStop);
@@ -357,7 +357,7 @@
     return this.#peers.book.live(performance.now()).reduce((sum, peer) => sum + told(peer), 0);
   }
 
-  async #untilOver(plannedStop: serving.PlannedStop): Promise<void> {
+  async #untilOver(plannedStop: serving.GracefulShutdown): Promise<void> {
     while (!plannedStop.step(this.#listener, performance.now())) {
       await new Promise((resolve) => setTimeout(resolve, STOP_CHECK_MS));
     }
--- a/packages/serving/src/plannedStop.ts
+++ b/packages/serving/src/plannedStop.ts
@@ -80,7 +80,7 @@
  * by another daemon. What was accepted before the signal, and the last answers, go by the earliest instant at which the
  * signal may have come; streams that have begun go on by the latest, as they gain nothing from an earlier end.
  */
-export class PlannedStop {
+export class GracefulShutdown {
   readonly #beganAt: number;
   readonly #answersBy: number;
   readonly #endsAt: number;
--- a/packages/serving/tests/plannedStop.test.ts
+++ b/packages/serving/tests/plannedStop.test.ts
@@ -8,8 +8,8 @@
 /** Time that a process ended by force would be late by, in milliseconds. */
 const FORCED_AT_MS = GRACE_MS;
 
-function stopAt(heardAt: number, graceMs = GRACE_MS, earliestAt = heardAt): serving.PlannedStop {
-  return new serving.PlannedStop({ earliestAt, heardAt, graceMs });
+function stopAt(heardAt: number, graceMs = GRACE_MS, earliestAt = heardAt): serving.GracefulShutdown {
+  return new serving.GracefulShutdown({ earliestAt, heardAt, graceMs });
 }
 
 const suite = uvu.suite("what a stopping daemon accepts");
