--- a/packages/serving/src/index.ts
+++ b/packages/serving/src/index.ts
@@ -13,7 +13,7 @@
 export * from "./leastBusy.js";
 export * from "./linearEstimate.js";
 export * from "./placement.js";
-export * from "./plannedStop.js";
+export * from "./gracefulShutdown.js";
 export * from "./promptAdmission.js";
 export * from "./promptParts.js";
 export * from "./pulseInterval.js";
