--- a/packages/gateway/src/peerBook.ts
+++ b/packages/gateway/src/peerBook.ts
@@ -197,7 +197,10 @@
   #tellersBefore(of: PeerState, live: readonly PeerState[], known: Known): number {
     // Where the service answers nobody, those that know the configuration share the telling out among themselves.
     const answered = live
-      .filter((state) => of.deciding || (serving.isHost(state.vm, state.names) && state.dataCentre === of.dataCentre))
+      .filter(
+        (state) =>
+          of.deciding || (serving.isStandbyContact(state.vm, state.names) && state.dataCentre === of.dataCentre),
+      )
       .filter((state) => state.deciding)
       .filter((state) => !known.answered || state.storeSilentMs < STORE_SILENT_MS);
     const able = answered
--- a/packages/gateway/src/peers/standing.ts
+++ b/packages/gateway/src/peers/standing.ts
@@ -33,7 +33,7 @@
 
   /** @returns whether this daemon speaks to those of its data centre that stand by */
   get host(): boolean {
-    return serving.isHost(this.#parts.entry.vm, this.#names);
+    return serving.isStandbyContact(this.#parts.entry.vm, this.#names);
   }
 
   /** @returns VMs of this data centre that callers are sent to, the most able first */
--- a/packages/serving/src/activeSet.ts
+++ b/packages/serving/src/activeSet.ts
@@ -89,7 +89,7 @@
  * @param names - VMs that take callers, the most able first
  * @returns whether it is one of the few
  */
-export function isHost(vm: string, names: readonly string[]): boolean {
+export function isStandbyContact(vm: string, names: readonly string[]): boolean {
   return names.slice(0, LEAST_ACTIVE).includes(vm);
 }
 
