--- a/packages/gateway/src/peers/standing.ts
+++ b/packages/gateway/src/peers/standing.ts
@@ -67,7 +67,7 @@
     return true;
   }
 
-  #own(): serving.Candidate | undefined {
+  #own(): serving.ActiveSetCandidate | undefined {
     const { entry, ready, busyCores } = this.#parts;
     if (!ready()) return undefined;
     const { vm, capacity } = entry;
--- a/packages/serving/src/activeSet.ts
+++ b/packages/serving/src/activeSet.ts
@@ -16,7 +16,7 @@
 const NEED_KEPT_MS = 15_000;
 
 /** A daemon of one data centre, as another one knows it. */
-export interface Candidate {
+export interface ActiveSetCandidate {
   readonly vm: string;
   /** Processor capacity of its VM, in cores. */
   readonly capacity: number;
@@ -58,7 +58,11 @@
    * @param now - current instant in milliseconds
    * @returns who takes callers; undefined if nobody is known to
    */
-  decide(own: Candidate | undefined, others: readonly Candidate[], now: number): ActiveDecision | undefined {
+  decide(
+    own: ActiveSetCandidate | undefined,
+    others: readonly ActiveSetCandidate[],
+    now: number,
+  ): ActiveDecision | undefined {
     const ranked = rankByCapacity(own === undefined ? others : [own, ...others]);
     // One that hears nobody names itself alone, and must not take the callers from all others.
     const leastNamed = Math.min(LEAST_ACTIVE, ranked.length);
@@ -71,7 +75,7 @@
     return { leader: leader.vm, active: firstWith(ranked, wantedCores), wantedCores };
   }
 
-  #wantedCores(ranked: readonly Candidate[], now: number): number {
+  #wantedCores(ranked: readonly ActiveSetCandidate[], now: number): number {
     const busy = ranked.reduce((sum, { busyCores }) => sum + busyCores, 0);
     const cores = CAPACITY_PER_BUSY * busy;
     while ((this.#needs[0]?.until ?? now) < now) this.#needs.shift();
@@ -110,7 +114,7 @@
   );
 }
 
-function firstWith(ranked: readonly Candidate[], cores: number): string[] {
+function firstWith(ranked: readonly ActiveSetCandidate[], cores: number): string[] {
   if (ranked.length <= ALL_ACTIVE_UP_TO) return ranked.map(({ vm }) => vm);
   const chosen: string[] = [];
   let capacity = 0;
--- a/packages/serving/tests/activeSet.test.ts
+++ b/packages/serving/tests/activeSet.test.ts
@@ -8,17 +8,17 @@
 const LARGE_CORES = 1.35;
 const SMALL_CORES = 0.324;
 
-function candidate(vm: string, options: Partial<serving.Candidate> = {}): serving.Candidate {
+function candidate(vm: string, options: Partial<serving.ActiveSetCandidate> = {}): serving.ActiveSetCandidate {
   return { vm, capacity: SMALL_CORES, busyCores: 0, active: false, names: [], ...options };
 }
 
-function small(count: number): serving.Candidate[] {
+function small(count: number): serving.ActiveSetCandidate[] {
   return Array.from({ length: count }, (_, index) => candidate(`small-${index}`));
 }
 
 const LARGE = ["large-0", "large-1", "large-2"].map((vm) => candidate(vm, { capacity: LARGE_CORES }));
 
-function led(others: readonly serving.Candidate[], own = LARGE[0], now = 0): serving.ActiveDecision {
+function led(others: readonly serving.ActiveSetCandidate[], own = LARGE[0], now = 0): serving.ActiveDecision {
   const decision = new serving.ActiveSet().decide(own, others, now);
   if (decision === undefined) throw new Error("nobody takes callers");
   return decision;
@@ -39,8 +39,11 @@
   const set = new serving.ActiveSet();
   const others = [...LARGE.slice(1), ...small(39)];
   const busy = LARGE.map((each) => ({ ...each, busyCores: 0.8 }));
-  const count = (own: serving.Candidate | undefined, all: readonly serving.Candidate[], now: number): number =>
-    set.decide(own, all, now)?.active.length ?? 0;
+  const count = (
+    own: serving.ActiveSetCandidate | undefined,
+    all: readonly serving.ActiveSetCandidate[],
+    now: number,
+  ): number => set.decide(own, all, now)?.active.length ?? 0;
   assert.is(count(LARGE[0], others, 0), 3);
   const grown = count(busy[0], [...busy.slice(1), ...small(39)], 1_000);
   assert.ok(grown > 3, `${grown}`);
