--- a/packages/experiment/tests/hundreds.test.ts
+++ b/packages/experiment/tests/hundreds.test.ts
@@ -35,7 +35,7 @@
       capacity: index < 3 ? LARGE_CORES : SMALL_CORES,
       busyCores: 0,
       active: false,
-      names: [],
+      activeVms: [],
     }));
     return new serving.ActiveSet().decide(candidates[0], candidates.slice(1), 0)?.active ?? [];
   });
--- a/packages/gateway/src/peerBook.ts
+++ b/packages/gateway/src/peerBook.ts
@@ -12,7 +12,7 @@
   /** Whether it takes callers, or has work of theirs. */
   readonly deciding: boolean;
   /** Daemons of its data centre that callers are sent to, as it knows them. */
-  readonly names: readonly string[];
+  readonly activeVms: readonly string[];
   /** Processor capacity of its VM, and how much of it is busy, in cores. */
   readonly capacity: number;
   readonly busyCores: number;
@@ -199,7 +199,7 @@
     const answered = live
       .filter(
         (state) =>
-          of.deciding || (serving.isStandbyContact(state.vm, state.names) && state.dataCentre === of.dataCentre),
+          of.deciding || (serving.isStandbyContact(state.vm, state.activeVms) && state.dataCentre === of.dataCentre),
       )
       .filter((state) => state.deciding)
       .filter((state) => !known.answered || state.storeSilentMs < STORE_SILENT_MS);
--- a/packages/gateway/src/peerLink.ts
+++ b/packages/gateway/src/peerLink.ts
@@ -177,7 +177,7 @@
   }
 
   #audience(now: number): audiences.Audience {
-    const named = new Set(this.book.live(now).flatMap((peer) => peer.names));
+    const named = new Set(this.book.live(now).flatMap((peer) => peer.activeVms));
     const known = this.#others().map((entry) => {
       const heard = this.book.heard(entry.vm, now);
       return { entry, live: heard !== undefined, deciding: heard?.deciding ?? false, named: named.has(entry.vm) };
@@ -274,7 +274,7 @@
       busyCores: pulse.busyThousandths / THOUSANDTHS,
       active: pulse.active,
       deciding: pulse.active || pulse.work.length > 0,
-      names: pulse.activeVms,
+      activeVms: pulse.activeVms,
       nextWithinMs: pulse.nextWithinMs,
       ready: pulse.ready,
       configurationRevision: Number(pulse.configurationRevision),
--- a/packages/gateway/src/peers/standing.ts
+++ b/packages/gateway/src/peers/standing.ts
@@ -71,6 +71,6 @@
     const { entry, ready, busyCores } = this.#parts;
     if (!ready()) return undefined;
     const { vm, capacity } = entry;
-    return { vm, capacity, busyCores: busyCores(), active: this.#active, names: this.#names };
+    return { vm, capacity, busyCores: busyCores(), active: this.#active, activeVms: this.#names };
   }
 }
--- a/packages/gateway/tests/helpers/talkingFleet.ts
+++ b/packages/gateway/tests/helpers/talkingFleet.ts
@@ -40,7 +40,7 @@
   /** @returns whom it speaks to now, and when it speaks to them again */
   look(now: number, others: readonly daemonEntries.DaemonEntry[]): [to: string, nextWithinMs: number][] {
     const hasChanged = this.standing.look(now);
-    const named = new Set(this.book.live(now).flatMap(({ names }) => names));
+    const named = new Set(this.book.live(now).flatMap(({ activeVms: names }) => names));
     const known = others.map((entry) => {
       const heard = this.book.heard(entry.vm, now);
       return { entry, live: heard !== undefined, deciding: heard?.deciding ?? false, named: named.has(entry.vm) };
@@ -66,7 +66,7 @@
       ready: this.ready,
       active,
       deciding: active,
-      names,
+      activeVms: names,
       capacity,
       busyCores: this.busyCores,
       nextWithinMs,
--- a/packages/gateway/tests/peerBook.test.ts
+++ b/packages/gateway/tests/peerBook.test.ts
@@ -12,7 +12,7 @@
     ready: true,
     active: true,
     deciding: true,
-    names: [vm],
+    activeVms: [vm],
     capacity: 1,
     busyCores: 0,
     nextWithinMs: 100,
--- a/packages/gateway/tests/peerLink.test.ts
+++ b/packages/gateway/tests/peerLink.test.ts
@@ -89,7 +89,7 @@
       dataCentre: "a",
       active: true,
       deciding: true,
-      names: [],
+      activeVms: [],
       capacity: 1,
       busyCores: 0,
       nextWithinMs: 1_000,
--- a/packages/serving/src/activeSet.ts
+++ b/packages/serving/src/activeSet.ts
@@ -25,7 +25,7 @@
   /** Whether it says that it takes callers. */
   readonly active: boolean;
   /** The daemons that take callers, as it knows them. */
-  readonly names: readonly string[];
+  readonly activeVms: readonly string[];
 }
 
 /** Who takes callers in a data centre, and by whose word. */
@@ -67,10 +67,10 @@
     // One that hears nobody names itself alone, and must not take the callers from all others.
     const leastNamed = Math.min(LEAST_ACTIVE, ranked.length);
     const leader = ranked.find(
-      (candidate) => candidate.vm === own?.vm || (candidate.active && candidate.names.length >= leastNamed),
+      (candidate) => candidate.vm === own?.vm || (candidate.active && candidate.activeVms.length >= leastNamed),
     );
     if (leader === undefined) return undefined;
-    if (leader.vm !== own?.vm) return { leader: leader.vm, active: leader.names, wantedCores: undefined };
+    if (leader.vm !== own?.vm) return { leader: leader.vm, active: leader.activeVms, wantedCores: undefined };
     const wantedCores = this.#wantedCores(ranked, now);
     return { leader: leader.vm, active: firstWith(ranked, wantedCores), wantedCores };
   }
--- a/packages/serving/tests/activeSet.test.ts
+++ b/packages/serving/tests/activeSet.test.ts
@@ -9,7 +9,7 @@
 const SMALL_CORES = 0.324;
 
 function candidate(vm: string, options: Partial<serving.ActiveSetCandidate> = {}): serving.ActiveSetCandidate {
-  return { vm, capacity: SMALL_CORES, busyCores: 0, active: false, names: [], ...options };
+  return { vm, capacity: SMALL_CORES, busyCores: 0, active: false, activeVms: [], ...options };
 }
 
 function small(count: number): serving.ActiveSetCandidate[] {
@@ -53,7 +53,7 @@
 
 suite("one that stands by follows the most able one that takes callers", () => {
   const names = ["large-0", "large-1", "small-7"];
-  const active = LARGE.map((each) => ({ ...each, active: true, names }));
+  const active = LARGE.map((each) => ({ ...each, active: true, activeVms: names }));
   const decision = led(active, candidate("small-7"));
   assert.is(
     decision.leader,
@@ -67,8 +67,8 @@
   const [deaf, ...heard] = serving.rankByCapacity(LARGE);
   const names = [...heard.map(({ vm }) => vm), "small-0"];
   const others = [
-    { ...candidate(deaf?.vm ?? "", { capacity: LARGE_CORES }), active: true, names: [deaf?.vm ?? ""] },
-    ...heard.map((each) => ({ ...each, active: true, names })),
+    { ...candidate(deaf?.vm ?? "", { capacity: LARGE_CORES }), active: true, activeVms: [deaf?.vm ?? ""] },
+    ...heard.map((each) => ({ ...each, active: true, activeVms: names })),
   ];
   assert.equal(led(others, candidate("small-0")).active, names);
 });
@@ -89,7 +89,7 @@
   );
   fc.assert(
     fc.property(daemons, (drawn) => {
-      const [own, ...others] = drawn.map((each) => ({ ...each, active: false, names: [] }));
+      const [own, ...others] = drawn.map((each) => ({ ...each, active: false, activeVms: [] }));
       const { active } = led(others, own);
       assert.ok(active.length >= Math.min(serving.LEAST_ACTIVE, drawn.length));
       assert.ok(active.every((vm) => drawn.some((each) => each.vm === vm)));
