--- a/packages/experiment/tests/hundreds.test.ts
+++ b/packages/experiment/tests/hundreds.test.ts
@@ -40,7 +40,7 @@
     return new serving.ActiveSet().decide(candidates[0], candidates.slice(1), 0)?.active ?? [];
   });
   const daemons = names.flat().length;
-  return { daemons, viewAgeMs: serving.pulseIntervalMs(daemons - 1) };
+  return { daemons, viewAgeMs: serving.heartbeatIntervalMs(daemons - 1) };
 }
 
 // The load: 195 daemons at a few requests a second each. Were all of them to decide, each would know of the others' work
--- a/packages/gateway/src/peerLink.ts
+++ b/packages/gateway/src/peerLink.ts
@@ -166,7 +166,7 @@
   }
 
   #followFleetSize({ often }: audiences.Audience): number {
-    const intervalMs = this.#deciding ? serving.pulseIntervalMs(often.length) : STANDBY_LOOK_MS;
+    const intervalMs = this.#deciding ? serving.heartbeatIntervalMs(often.length) : STANDBY_LOOK_MS;
     this.book.followInterval(intervalMs);
     return intervalMs;
   }
@@ -214,7 +214,7 @@
     if (due.often) {
       this.#saidAt.often = now;
       this.#saidWork = this.#workText();
-      const nextMs = Math.max(QUIET_PULSE_MS, serving.pulseIntervalMs(audience.often.length));
+      const nextMs = Math.max(QUIET_PULSE_MS, serving.heartbeatIntervalMs(audience.often.length));
       const nextWithinMs = peerWorks.wholeNumber(nextMs);
       const pulse = protobuf.create(messages.PulseSchema, { ...state, ...this.#work.tell(now), nextWithinMs });
       this.#pulse.say(
