--- a/packages/serving/src/index.ts
+++ b/packages/serving/src/index.ts
@@ -16,7 +16,7 @@
 export * from "./gracefulShutdown.js";
 export * from "./promptAdmission.js";
 export * from "./promptParts.js";
-export * from "./pulseInterval.js";
+export * from "./heartbeatInterval.js";
 export * from "./requestFingerprint.js";
 export * from "./retryBudget.js";
 export * from "./roleBalance.js";
