--- a/packages/gateway/src/answerBody.ts
+++ b/packages/gateway/src/answerBody.ts
@@ -51,12 +51,12 @@
     lessons.judge(active, failed ? serving.SendResult.Failed : serving.SendResult.Good);
     if (answer.state === callerAnswers.AnswerState.Streaming) {
       const detail = `status ${status} to a stream that goes on`;
-      results.failed(active, serving.SendFate.Unknown, detail);
+      results.failed(active, serving.SendOutcome.Unknown, detail);
       return;
     }
     if (failed) {
       served.noteMayHaveRun();
-      const step = served.decide(serving.SendFate.Unknown);
+      const step = served.decide(serving.SendOutcome.Unknown);
       if (step === serving.NextStep.SendAgain) {
         results.sendNext();
         return;
@@ -90,7 +90,7 @@
   onEnd(): void {
     const { active, end, lessons, results, served } = this.#send;
     if (this.#splitter.unfinishedBytes > 0 || !served.progress.begun) {
-      results.failed(active, serving.SendFate.Unknown, "the stream ended inside an event");
+      results.failed(active, serving.SendOutcome.Unknown, "the stream ended inside an event");
       return;
     }
     lessons.judge(active, serving.SendResult.Good);
--- a/packages/gateway/src/answerReceiver.ts
+++ b/packages/gateway/src/answerReceiver.ts
@@ -44,19 +44,19 @@
     const { active, results } = this.#send;
     if (!results.end(active)) return;
     if (this.#notRun) {
-      results.failed(active, serving.SendFate.Declined, `status ${this.#status}`);
+      results.failed(active, serving.SendOutcome.Declined, `status ${this.#status}`);
     } else if (this.#status < CLIENT_ERRORS_FROM && !this.#sealed) {
-      results.failed(active, serving.SendFate.Unknown, "the answer bears no seal");
+      results.failed(active, serving.SendOutcome.Unknown, "the answer bears no seal");
     } else {
       this.#body?.onEnd();
     }
   }
 
   /** {@inheritDoc sendings.AnswerReceiver.onBroken} */
-  onBroken(fate: serving.SendFate, detail: string): void {
+  onBroken(fate: serving.SendOutcome, detail: string): void {
     const { active, results } = this.#send;
     if (!results.end(active)) return;
-    if (this.#notRun) results.failed(active, serving.SendFate.Declined, detail);
+    if (this.#notRun) results.failed(active, serving.SendOutcome.Declined, detail);
     else results.broken(active, fate, detail);
   }
 
--- a/packages/gateway/src/endpointSend.ts
+++ b/packages/gateway/src/endpointSend.ts
@@ -107,7 +107,7 @@
     if (this.#over || status < FINAL_FROM) return;
     this.#noteHeard();
     if (!this.#parts.receiver.onHead(status, headers)) {
-      this.#break(serving.SendFate.Unknown, "the answer is not this request's");
+      this.#break(serving.SendOutcome.Unknown, "the answer is not this request's");
     }
   }
 
@@ -118,7 +118,7 @@
   }
 
   #onEnd(): void {
-    if (this.#lane.reset) this.#break(serving.SendFate.Unknown, "the connection was reset inside the answer");
+    if (this.#lane.reset) this.#break(serving.SendOutcome.Unknown, "the connection was reset inside the answer");
     if (this.#over) return;
     this.#over = true;
     this.#noteHeard();
@@ -128,7 +128,7 @@
 
   #onError(error: Error): void {
     this.#parts.onBroken();
-    this.#break(this.hasLeft ? serving.SendFate.Unknown : serving.SendFate.NotSent, error.message);
+    this.#break(this.hasLeft ? serving.SendOutcome.Unknown : serving.SendOutcome.NotSent, error.message);
   }
 
   #noteHeard(): void {
@@ -141,7 +141,7 @@
     this.#parts.lanes.discard(this.#lane);
   }
 
-  #break(fate: serving.SendFate, detail: string): void {
+  #break(fate: serving.SendOutcome, detail: string): void {
     if (this.#over) return;
     this.#discard();
     this.#parts.receiver.onBroken(fate, detail);
--- a/packages/gateway/src/exchangeParts.ts
+++ b/packages/gateway/src/exchangeParts.ts
@@ -31,7 +31,7 @@
    * @param fate - whether the request may have run
    * @param detail - what went wrong
    */
-  failed(active: activeSends.ActiveSend, fate: serving.SendFate, detail: string): void;
+  failed(active: activeSends.ActiveSend, fate: serving.SendOutcome, detail: string): void;
   /**
    * The connection of a send broke: its endpoint may have ended.
    *
@@ -39,7 +39,7 @@
    * @param fate - whether the request may have run
    * @param detail - what went wrong
    */
-  broken(active: activeSends.ActiveSend, fate: serving.SendFate, detail: string): void;
+  broken(active: activeSends.ActiveSend, fate: serving.SendOutcome, detail: string): void;
   /** The request goes on with another send. */
   sendNext(): void;
 }
--- a/packages/gateway/src/promptReceiver.ts
+++ b/packages/gateway/src/promptReceiver.ts
@@ -46,7 +46,7 @@
       return;
     }
     const detail = `status ${this.#status}${this.#notRun ? "" : ", no handle"}`;
-    results.failed(active, serving.SendFate.Declined, detail);
+    results.failed(active, serving.SendOutcome.Declined, detail);
   }
 
   /**
@@ -54,10 +54,10 @@
    *
    * Reading a prompt runs nothing, so a lost answer to it leaves the request not run.
    */
-  onBroken(fate: serving.SendFate, detail: string): void {
+  onBroken(fate: serving.SendOutcome, detail: string): void {
     const { active, results } = this.#send;
     if (!results.end(active)) return;
-    const known = fate === serving.SendFate.NotSent ? fate : serving.SendFate.Declined;
+    const known = fate === serving.SendOutcome.NotSent ? fate : serving.SendOutcome.Declined;
     results.broken(active, known, detail);
   }
 }
--- a/packages/gateway/src/sendCourse.ts
+++ b/packages/gateway/src/sendCourse.ts
@@ -84,14 +84,14 @@
   }
 
   /** {@inheritDoc exchangeParts.SendResults.failed} */
-  failed(active: activeSends.ActiveSend, fate: serving.SendFate, detail: string): void {
+  failed(active: activeSends.ActiveSend, fate: serving.SendOutcome, detail: string): void {
     const { context, end, lessons, memory, served } = this.#parts;
-    const declined = fate === serving.SendFate.Declined;
+    const declined = fate === serving.SendOutcome.Declined;
     lessons.judge(active, declined ? serving.SendResult.Declined : serving.SendResult.Failed);
     this.#countFailed(active, fate);
-    if (fate === serving.SendFate.Unknown) served.noteMayHaveRun();
+    if (fate === serving.SendOutcome.Unknown) served.noteMayHaveRun();
     if (declined && active.stage === sendChoosers.Stage.Answering) memory.free();
-    if (fate === serving.SendFate.Unknown) memory.noteTaken();
+    if (fate === serving.SendOutcome.Unknown) memory.noteTaken();
     const step = served.decide(fate);
     context.log.info("send-failed", {
       id: served.id,
@@ -110,7 +110,7 @@
   }
 
   /** {@inheritDoc exchangeParts.SendResults.broken} */
-  broken(active: activeSends.ActiveSend, fate: serving.SendFate, detail: string): void {
+  broken(active: activeSends.ActiveSend, fate: serving.SendOutcome, detail: string): void {
     const { context, served } = this.#parts;
     if (active.hasLeft) {
       served.noteBroken(context.suspects.isSuspected(served));
@@ -150,7 +150,7 @@
   #readAgain(reader: serving.Endpoint): void {
     const { context, end, served } = this.#parts;
     served.countSend();
-    const step = served.decide(serving.SendFate.Declined);
+    const step = served.decide(serving.SendOutcome.Declined);
     context.log.info("handle-lost", { id: served.id, endpoint: reader.id, step });
     if (step === serving.NextStep.SendAgain) this.sendNext();
     else end.reject("handle-lost");
@@ -216,7 +216,7 @@
     const { context, lessons, served } = this.#parts;
     const reading = active.stage === sendChoosers.Stage.Reading;
     if (!reading && !serving.mayRepeat(served.route)) return;
-    const fate = reading ? serving.SendFate.Declined : serving.SendFate.Unknown;
+    const fate = reading ? serving.SendOutcome.Declined : serving.SendOutcome.Unknown;
     if (reading) served.countSend();
     const step = served.decide(fate);
     if (step !== serving.NextStep.SendAgain) {
@@ -237,9 +237,9 @@
   }
 
   /** A send counts unless nothing of it left; the first read that an engine accepts doesn't, a rejected one does. */
-  #countFailed(active: activeSends.ActiveSend, fate: serving.SendFate): void {
+  #countFailed(active: activeSends.ActiveSend, fate: serving.SendOutcome): void {
     const { served } = this.#parts;
-    if (active.stage === sendChoosers.Stage.Answering && fate === serving.SendFate.NotSent) served.uncountSend();
-    if (active.stage === sendChoosers.Stage.Reading && fate !== serving.SendFate.NotSent) served.countSend();
+    if (active.stage === sendChoosers.Stage.Answering && fate === serving.SendOutcome.NotSent) served.uncountSend();
+    if (active.stage === sendChoosers.Stage.Reading && fate !== serving.SendOutcome.NotSent) served.countSend();
   }
 }
--- a/packages/gateway/src/sending.ts
+++ b/packages/gateway/src/sending.ts
@@ -25,7 +25,7 @@
    * @param fate - whether the request may have run
    * @param detail - what went wrong
    */
-  onBroken(fate: serving.SendFate, detail: string): void;
+  onBroken(fate: serving.SendOutcome, detail: string): void;
 }
 
 /** A send that is under way. */
--- a/packages/gateway/tests/exchange.test.ts
+++ b/packages/gateway/tests/exchange.test.ts
@@ -78,7 +78,7 @@
   handOver(stand.send(0));
   // Otherwise the other decode engine copies the prompt and reads what is left itself.
   stand.slowDecoding();
-  stand.send(1).receiver.onBroken(serving.SendFate.Unknown, "reset");
+  stand.send(1).receiver.onBroken(serving.SendOutcome.Unknown, "reset");
   assert.is(stand.send(2).endpoint.role, Prefill);
   stand.exchange.endNow("stopping");
   assert.equal(stand.answer.refusals, [{ status: 502, headers: [] }]);
--- a/packages/serving/src/finalAnswer.ts
+++ b/packages/serving/src/finalAnswer.ts
@@ -1,7 +1,7 @@
 import * as configurations from "./configuration.js";
 
 /** What is known of one send to an endpoint that gave no answer to pass on. */
-export enum SendFate {
+export enum SendOutcome {
   /** Nothing left this process. */
   NotSent = "not-sent",
   /** The endpoint said that it did not run the request. */
@@ -23,7 +23,7 @@
 
 /** What the next step is decided from. */
 export interface StepInputs {
-  readonly fate: SendFate;
+  readonly fate: SendOutcome;
   /** Whether any earlier send of this request may have run. */
   readonly mayHaveRun: boolean;
   readonly requestClass: configurations.RequestClass;
@@ -57,7 +57,7 @@
  * @returns the next step
  */
 export function nextStep(inputs: StepInputs): NextStep {
-  const ran = inputs.mayHaveRun || inputs.fate === SendFate.Unknown;
+  const ran = inputs.mayHaveRun || inputs.fate === SendOutcome.Unknown;
   const allowed = !ran || mayRepeat(inputs);
   const worthwhile = inputs.remainingMs >= LEAST_USEFUL_MS && inputs.otherEndpoint;
   if (allowed && worthwhile && inputs.sends < inputs.attempts) {
--- a/packages/serving/tests/finalAnswer.test.ts
+++ b/packages/serving/tests/finalAnswer.test.ts
@@ -6,7 +6,7 @@
 const suite = uvu.suite("what follows a send without an answer");
 
 const inputs = fastCheck.record({
-  fate: fastCheck.constantFrom(...Object.values(serving.SendFate)),
+  fate: fastCheck.constantFrom(...Object.values(serving.SendOutcome)),
   mayHaveRun: fastCheck.boolean(),
   requestClass: fastCheck.constantFrom(...Object.values(serving.RequestClass)),
   resumable: fastCheck.boolean(),
@@ -23,7 +23,7 @@
   fastCheck.assert(
     fastCheck.property(inputs, ({ budget, ...given }) => {
       const step = serving.nextStep({ ...given, spendRepeat: () => budget });
-      const ran = given.mayHaveRun || given.fate === serving.SendFate.Unknown;
+      const ran = given.mayHaveRun || given.fate === serving.SendOutcome.Unknown;
       if (ran) assert.is.not(step, serving.NextStep.Reject);
       else assert.ok(step === serving.NextStep.Reject || step === serving.NextStep.SendAgain);
     }),
@@ -36,7 +36,7 @@
   fastCheck.assert(
     fastCheck.property(inputs, ({ budget, ...given }) => {
       const step = serving.nextStep({ ...given, spendRepeat: () => budget });
-      const ran = given.mayHaveRun || given.fate === serving.SendFate.Unknown;
+      const ran = given.mayHaveRun || given.fate === serving.SendOutcome.Unknown;
       if (step === serving.NextStep.SendAgain && ran) assert.ok(serving.mayRepeat(given));
     }),
     { seed: 2 },
