--- a/packages/gateway/src/servedRequest.ts
+++ b/packages/gateway/src/servedRequest.ts
@@ -170,7 +170,7 @@
     const { view, budgets } = this.#context;
     const others = view.directory.serving(this.#service).some((endpoint) => !this.#tried.has(endpoint.id));
     return serving.nextStep({
-      fate,
+      outcome: fate,
       mayHaveRun: this.#mayHaveRun,
       requestClass: this.#route.requestClass,
       resumable: this.#route.resumable,
--- a/packages/serving/src/finalAnswer.ts
+++ b/packages/serving/src/finalAnswer.ts
@@ -23,7 +23,7 @@
 
 /** What the next step is decided from. */
 export interface StepInputs {
-  readonly fate: SendOutcome;
+  readonly outcome: SendOutcome;
   /** Whether any earlier send of this request may have run. */
   readonly mayHaveRun: boolean;
   readonly requestClass: configurations.RequestClass;
@@ -57,7 +57,7 @@
  * @returns the next step
  */
 export function nextStep(inputs: StepInputs): NextStep {
-  const ran = inputs.mayHaveRun || inputs.fate === SendOutcome.Unknown;
+  const ran = inputs.mayHaveRun || inputs.outcome === SendOutcome.Unknown;
   const allowed = !ran || mayRepeat(inputs);
   const worthwhile = inputs.remainingMs >= LEAST_USEFUL_MS && inputs.otherEndpoint;
   if (allowed && worthwhile && inputs.sends < inputs.attempts) {
