--- a/packages/gateway/src/sendChooser.ts
+++ b/packages/gateway/src/sendChooser.ts
@@ -87,7 +87,7 @@
       .filter((endpoint) =>
         client.hasRoom(endpoint.id, definition?.maxConnections ?? Number.MAX_SAFE_INTEGER, daemons),
       );
-    const trials = serving.mayRepeat(this.#served.route);
+    const trials = serving.mayRetry(this.#served.route);
     return health.usable(open, trials, now);
   }
 
--- a/packages/gateway/src/sendCourse.ts
+++ b/packages/gateway/src/sendCourse.ts
@@ -215,7 +215,7 @@
   #leaveSilent(active: activeSends.ActiveSend, silentMs: number): void {
     const { context, lessons, served } = this.#parts;
     const reading = active.stage === sendChoosers.Stage.Reading;
-    if (!reading && !serving.mayRepeat(served.route)) return;
+    if (!reading && !serving.mayRetry(served.route)) return;
     const fate = reading ? serving.SendOutcome.Declined : serving.SendOutcome.Unknown;
     if (reading) served.countSend();
     const step = served.decide(fate);
--- a/packages/serving/src/finalAnswer.ts
+++ b/packages/serving/src/finalAnswer.ts
@@ -44,7 +44,7 @@
  * @param inputs - what is known
  * @returns whether the request may run again though an earlier send may have run
  */
-export function mayRepeat(inputs: Pick<StepInputs, "requestClass" | "resumable">): boolean {
+export function mayRetry(inputs: Pick<StepInputs, "requestClass" | "resumable">): boolean {
   if (inputs.requestClass === configurations.RequestClass.Idempotent) return true;
   return inputs.requestClass === configurations.RequestClass.Stream && inputs.resumable;
 }
@@ -58,7 +58,7 @@
  */
 export function nextStep(inputs: StepInputs): NextStep {
   const ran = inputs.mayHaveRun || inputs.outcome === SendOutcome.Unknown;
-  const allowed = !ran || mayRepeat(inputs);
+  const allowed = !ran || mayRetry(inputs);
   const worthwhile = inputs.remainingMs >= LEAST_USEFUL_MS && inputs.otherEndpoint;
   if (allowed && worthwhile && inputs.sends < inputs.attempts) {
     const free = inputs.sends === 0;
--- a/packages/serving/tests/finalAnswer.test.ts
+++ b/packages/serving/tests/finalAnswer.test.ts
@@ -37,7 +37,7 @@
     fastCheck.property(inputs, ({ budget, ...given }) => {
       const step = serving.nextStep({ ...given, spendRepeat: () => budget });
       const ran = given.mayHaveRun || given.fate === serving.SendOutcome.Unknown;
-      if (step === serving.NextStep.SendAgain && ran) assert.ok(serving.mayRepeat(given));
+      if (step === serving.NextStep.SendAgain && ran) assert.ok(serving.mayRetry(given));
     }),
     { seed: 2 },
   );
