--- a/packages/gateway/src/servedRequest.ts
+++ b/packages/gateway/src/servedRequest.ts
@@ -178,7 +178,7 @@
       attempts: this.#mayBeSentAgain ? this.#route.attempts : 0,
       remainingMs: this.remainingMs,
       otherEndpoint: others,
-      spendRepeat: () => budgets.of(this.#service).spend(performance.now(), this.#context.liveDaemons()),
+      spendRetry: () => budgets.of(this.#service).spend(performance.now(), this.#context.liveDaemons()),
     });
   }
 }
--- a/packages/serving/src/finalAnswer.ts
+++ b/packages/serving/src/finalAnswer.ts
@@ -34,7 +34,7 @@
   readonly remainingMs: number;
   readonly otherEndpoint: boolean;
   /** Takes one repeat from the service's budget; asked only when all else allows a repeat. */
-  readonly spendRepeat: () => boolean;
+  readonly spendRetry: () => boolean;
 }
 
 /** Time below which another send could not be answered, in milliseconds. */
@@ -62,7 +62,7 @@
   const worthwhile = inputs.remainingMs >= LEAST_USEFUL_MS && inputs.otherEndpoint;
   if (allowed && worthwhile && inputs.sends < inputs.attempts) {
     const free = inputs.sends === 0;
-    if (free || inputs.spendRepeat()) return NextStep.SendAgain;
+    if (free || inputs.spendRetry()) return NextStep.SendAgain;
   }
   if (!ran) return NextStep.Reject;
   return inputs.remainingMs <= 0 ? NextStep.TimedOut : NextStep.Fail;
--- a/packages/serving/tests/finalAnswer.test.ts
+++ b/packages/serving/tests/finalAnswer.test.ts
@@ -22,7 +22,7 @@
 suite("a request that may have run is never said not to have run", () => {
   fastCheck.assert(
     fastCheck.property(inputs, ({ budget, ...given }) => {
-      const step = serving.nextStep({ ...given, spendRepeat: () => budget });
+      const step = serving.nextStep({ ...given, spendRetry: () => budget });
       const ran = given.mayHaveRun || given.fate === serving.SendOutcome.Unknown;
       if (ran) assert.is.not(step, serving.NextStep.Reject);
       else assert.ok(step === serving.NextStep.Reject || step === serving.NextStep.SendAgain);
@@ -35,7 +35,7 @@
 suite("what may run once is not sent again once it may have run", () => {
   fastCheck.assert(
     fastCheck.property(inputs, ({ budget, ...given }) => {
-      const step = serving.nextStep({ ...given, spendRepeat: () => budget });
+      const step = serving.nextStep({ ...given, spendRetry: () => budget });
       const ran = given.mayHaveRun || given.fate === serving.SendOutcome.Unknown;
       if (step === serving.NextStep.SendAgain && ran) assert.ok(serving.mayRetry(given));
     }),
@@ -51,7 +51,7 @@
         asked = true;
         return budget;
       };
-      const step = serving.nextStep({ ...given, spendRepeat });
+      const step = serving.nextStep({ ...given, spendRetry: spendRepeat });
       if (step !== serving.NextStep.SendAgain) return;
       assert.ok(given.sends < given.attempts);
       assert.ok(given.sends === 0 || (asked && budget));
