--- a/packages/gateway/src/servedRequest.ts
+++ b/packages/gateway/src/servedRequest.ts
@@ -177,7 +177,7 @@
       sends: this.#sends,
       attempts: this.#mayBeSentAgain ? this.#route.attempts : 0,
       remainingMs: this.remainingMs,
-      otherEndpoint: others,
+      hasOtherEndpoint: others,
       spendRetry: () => budgets.of(this.#service).spend(performance.now(), this.#context.liveDaemons()),
     });
   }
--- a/packages/serving/src/finalAnswer.ts
+++ b/packages/serving/src/finalAnswer.ts
@@ -32,7 +32,7 @@
   readonly sends: number;
   readonly attempts: number;
   readonly remainingMs: number;
-  readonly otherEndpoint: boolean;
+  readonly hasOtherEndpoint: boolean;
   /** Takes one repeat from the service's budget; asked only when all else allows a repeat. */
   readonly spendRetry: () => boolean;
 }
@@ -59,7 +59,7 @@
 export function nextStep(inputs: StepInputs): NextStep {
   const ran = inputs.mayHaveRun || inputs.outcome === SendOutcome.Unknown;
   const allowed = !ran || mayRetry(inputs);
-  const worthwhile = inputs.remainingMs >= LEAST_USEFUL_MS && inputs.otherEndpoint;
+  const worthwhile = inputs.remainingMs >= LEAST_USEFUL_MS && inputs.hasOtherEndpoint;
   if (allowed && worthwhile && inputs.sends < inputs.attempts) {
     const free = inputs.sends === 0;
     if (free || inputs.spendRetry()) return NextStep.SendAgain;
