--- a/packages/serving/src/index.ts
+++ b/packages/serving/src/index.ts
@@ -9,7 +9,7 @@
 export * from "./endpointLives.js";
 export * from "./engineBoard.js";
 export * from "./engineSpeeds.js";
-export * from "./finalAnswer.js";
+export * from "./retryDecision.js";
 export * from "./leastBusy.js";
 export * from "./linearEstimate.js";
 export * from "./placement.js";
