--- a/packages/serving/tests/retryDecision.test.ts
+++ b/packages/serving/tests/retryDecision.test.ts
@@ -6,14 +6,14 @@
 const suite = uvu.suite("what follows a send without an answer");
 
 const inputs = fastCheck.record({
-  fate: fastCheck.constantFrom(...Object.values(serving.SendOutcome)),
+  outcome: fastCheck.constantFrom(...Object.values(serving.SendOutcome)),
   mayHaveRun: fastCheck.boolean(),
   requestClass: fastCheck.constantFrom(...Object.values(serving.RequestClass)),
   resumable: fastCheck.boolean(),
   sends: fastCheck.integer({ min: 0, max: 4 }),
   attempts: fastCheck.integer({ min: 1, max: 4 }),
   remainingMs: fastCheck.integer({ min: -100, max: 2_000 }),
-  otherEndpoint: fastCheck.boolean(),
+  hasOtherEndpoint: fastCheck.boolean(),
   budget: fastCheck.boolean(),
 });
 
@@ -23,7 +23,7 @@
   fastCheck.assert(
     fastCheck.property(inputs, ({ budget, ...given }) => {
       const step = serving.nextStep({ ...given, spendRetry: () => budget });
-      const ran = given.mayHaveRun || given.fate === serving.SendOutcome.Unknown;
+      const ran = given.mayHaveRun || given.outcome === serving.SendOutcome.Unknown;
       if (ran) assert.is.not(step, serving.NextStep.Reject);
       else assert.ok(step === serving.NextStep.Reject || step === serving.NextStep.SendAgain);
     }),
@@ -36,7 +36,7 @@
   fastCheck.assert(
     fastCheck.property(inputs, ({ budget, ...given }) => {
       const step = serving.nextStep({ ...given, spendRetry: () => budget });
-      const ran = given.mayHaveRun || given.fate === serving.SendOutcome.Unknown;
+      const ran = given.mayHaveRun || given.outcome === serving.SendOutcome.Unknown;
       if (step === serving.NextStep.SendAgain && ran) assert.ok(serving.mayRetry(given));
     }),
     { seed: 2 },
