--- a/packages/gateway/src/suspects/suspectGate.ts
+++ b/packages/gateway/src/suspects/suspectGate.ts
@@ -49,7 +49,7 @@
     if (this.#trials.has(served)) return neverthrow.ok(true);
     if (this.table.isEmpty) return neverthrow.ok(false);
     const now = performance.now();
-    const { content, ofCaller } = served.fingerprints;
+    const { content, contentAndCaller: ofCaller } = served.fingerprints;
     for (const fingerprint of [content, ofCaller]) {
       const suspicion = this.table.suspicionOf(fingerprint, now);
       if (suspicion === serving.Suspicion.Quarantined) return this.#reject(served, fingerprint, suspicion, now);
@@ -69,7 +69,7 @@
   isSuspected(served: servedRequests.ServedRequest): boolean {
     if (this.table.isEmpty) return false;
     const now = performance.now();
-    const { content, ofCaller } = served.fingerprints;
+    const { content, contentAndCaller: ofCaller } = served.fingerprints;
     return [content, ofCaller].some((each) => this.table.suspicionOf(each, now) !== serving.Suspicion.None);
   }
 
@@ -77,7 +77,7 @@
   noteCleanRun(served: servedRequests.ServedRequest): void {
     if (this.table.isEmpty) return;
     const now = performance.now();
-    const { content, ofCaller } = served.fingerprints;
+    const { content, contentAndCaller: ofCaller } = served.fingerprints;
     for (const fingerprint of [content, ofCaller]) this.table.noteCleanRun(fingerprint, now);
   }
 
@@ -97,7 +97,7 @@
     const now = performance.now();
     const life = lifeOf(endpoint);
     for (const { fingerprints, brokeAt } of runs) {
-      for (const fingerprint of [fingerprints.content, fingerprints.ofCaller]) {
+      for (const fingerprint of [fingerprints.content, fingerprints.contentAndCaller]) {
         if (this.#observed.size >= MOST_OBSERVED) this.#observed.clear();
         this.#observed.add(fingerprint);
         this.table.noteEnd(fingerprint, life, brokeAt, now);
--- a/packages/gateway/tests/endpointEndDetector.test.ts
+++ b/packages/gateway/tests/endpointEndDetector.test.ts
@@ -5,7 +5,7 @@
 import * as decisionLogs from "../src/decisionLog.js";
 import * as endpointEndDetectors from "../src/endpointEndDetector.js";
 
-const FINGERPRINTS: serving.Fingerprints = { content: "c1", ofCaller: "o1" };
+const FINGERPRINTS: serving.Fingerprints = { content: "c1", contentAndCaller: "o1" };
 
 /** Time in which an endpoint has been looked at, in milliseconds. */
 const LOOKED_MS = 150;
--- a/packages/serving/src/requestFingerprint.ts
+++ b/packages/serving/src/requestFingerprint.ts
@@ -16,7 +16,7 @@
   /** Of what is asked for, by whomever. */
   readonly content: string;
   /** Of what is asked for, by this caller. */
-  readonly ofCaller: string;
+  readonly contentAndCaller: string;
 }
 
 /** Hexadecimal digits that are kept: 64 bits, of which a second request with the same ones is not found by trying. */
@@ -29,7 +29,7 @@
 export function fingerprintsOf(inputs: FingerprintInputs): Fingerprints {
   const { method, host, target, body, callerAddress } = inputs;
   const content = digestOf([method, host, target], body);
-  return { content, ofCaller: digestOf([content, callerAddress], undefined) };
+  return { content, contentAndCaller: digestOf([content, callerAddress], undefined) };
 }
 
 function digestOf(words: readonly string[], body: Uint8Array | undefined): string {
--- a/packages/serving/tests/requestFingerprint.test.ts
+++ b/packages/serving/tests/requestFingerprint.test.ts
@@ -29,7 +29,7 @@
   for (const other of others) assert.is.not(serving.fingerprintsOf({ ...REQUEST, ...other }).content, own.content);
   const ofOther = serving.fingerprintsOf({ ...REQUEST, callerAddress: "10.0.0.2" });
   assert.is(ofOther.content, own.content);
-  assert.is.not(ofOther.ofCaller, own.ofCaller);
+  assert.is.not(ofOther.contentAndCaller, own.contentAndCaller);
 });
 
 suite("differ where the same text is split elsewhere", () => {
