--- a/packages/gateway/src/endpointLessons.ts
+++ b/packages/gateway/src/endpointLessons.ts
@@ -113,6 +113,6 @@
   }
 
   #isOfThisLife(active: activeSends.ActiveSend): boolean {
-    return this.#context.view.directory.isSameLife(active.endpoint);
+    return this.#context.view.directory.isSameIncarnation(active.endpoint);
   }
 }
--- a/packages/gateway/src/promptMemory.ts
+++ b/packages/gateway/src/promptMemory.ts
@@ -62,6 +62,6 @@
   }
 
   #isKept(handedOver: HandedOver): boolean {
-    return this.#context.view.directory.isSameLife(handedOver.reader);
+    return this.#context.view.directory.isSameIncarnation(handedOver.reader);
   }
 }
--- a/packages/gateway/src/roleChanger.ts
+++ b/packages/gateway/src/roleChanger.ts
@@ -227,7 +227,7 @@
     const { directory } = this.#parts.context.view;
     const { bornAt } = state;
     const otherLife = bornAt !== undefined && engine.bornAt !== undefined && bornAt !== engine.bornAt;
-    return otherLife || !directory.isSameLife(engine);
+    return otherLife || !directory.isSameIncarnation(engine);
   }
 
   #putOff(engine: serving.Endpoint, reason: string): void {
--- a/packages/gateway/src/silenceWatch.ts
+++ b/packages/gateway/src/silenceWatch.ts
@@ -66,6 +66,6 @@
   #endpointHeardAt(): number {
     const { client, view } = this.#context;
     const { endpoint } = this.#planned;
-    return view.directory.isSameLife(endpoint) ? client.heardAt(endpoint.id) : 0;
+    return view.directory.isSameIncarnation(endpoint) ? client.heardAt(endpoint.id) : 0;
   }
 }
--- a/packages/serving/src/endpointDirectory.ts
+++ b/packages/serving/src/endpointDirectory.ts
@@ -166,7 +166,7 @@
    */
   replaced(endpoint: Endpoint): EndpointNews | undefined {
     const known = this.#entries.get(endpoint.id);
-    if (known === undefined || !this.isSameLife(endpoint)) return undefined;
+    if (known === undefined || !this.isSameIncarnation(endpoint)) return undefined;
     this.#lives.noteLeaving(endpoint.id, endpoint.bornAt, known.revision);
     return this.#drop(known, known.revision, endpoint.bornAt);
   }
@@ -180,7 +180,7 @@
   declinedRole(endpoint: Endpoint): EndpointNews | undefined {
     const known = this.#entries.get(endpoint.id);
     if (known === undefined || known.endpoint.role === EngineRole.None) return undefined;
-    if (!this.isSameLife(endpoint)) return undefined;
+    if (!this.isSameIncarnation(endpoint)) return undefined;
     const role = known.endpoint.role === EngineRole.Prefill ? EngineRole.Decode : EngineRole.Prefill;
     known.endpoint = { ...known.endpoint, role };
     return { change: EndpointChange.Changed, id: endpoint.id, endpoint: known.endpoint, revision: known.revision };
@@ -214,7 +214,7 @@
    * @param endpoint - an endpoint as it was believed in before
    * @returns whether it is, as far as is known, still in the same life
    */
-  isSameLife(endpoint: Endpoint): boolean {
+  isSameIncarnation(endpoint: Endpoint): boolean {
     if (this.#lives.bornAtOf(endpoint.id) !== endpoint.bornAt) return false;
     const known = this.#entries.get(endpoint.id);
     return known === undefined || known.endpoint.address === endpoint.address;
--- a/packages/serving/tests/endpointLives.test.ts
+++ b/packages/serving/tests/endpointLives.test.ts
@@ -111,7 +111,7 @@
   assert.is(directory.replaced(former), undefined);
   assert.is(directory.declinedRole(former), undefined);
   assert.ok(directory.mayServe("e1"));
-  assert.not.ok(directory.isSameLife(former));
+  assert.not.ok(directory.isSameIncarnation(former));
 });
 
 suite("an endpoint that is replaced is told with its start, one whose entry is gone without", () => {
