--- a/packages/serving/src/endpointDirectory.ts
+++ b/packages/serving/src/endpointDirectory.ts
@@ -1,4 +1,4 @@
-import * as lives from "./endpointLives.js";
+import * as lives from "./endpointIncarnations.js";
 
 /** What is believed of the endpoints: which live, which are leaving. */
 
@@ -83,7 +83,7 @@
 export class EndpointDirectory {
   readonly #entries = new Map<string, Entry>();
   readonly #byService = new Map<string, Set<string>>();
-  readonly #lives = new lives.EndpointLives();
+  readonly #lives = new lives.EndpointIncarnations();
   /** Endpoints whose newest entry is another writer's. */
   readonly #setAside = new Set<string>();
   #revision = 0;
--- a/packages/serving/src/endpointLives.ts
+++ b/packages/serving/src/endpointIncarnations.ts
@@ -13,7 +13,7 @@
  * the endpoint says of itself orders its lives; revisions order the words of one
  * life, and those of endpoints that say nothing of their start.
  */
-export class EndpointLives {
+export class EndpointIncarnations {
   readonly #newest = new Map<string, number>();
   /** Revisions up to which no entry of an id counts: it was removed, or another writer wrote over it. */
   readonly #voidUpTo = new Map<string, number>();
--- a/packages/serving/src/index.ts
+++ b/packages/serving/src/index.ts
@@ -6,7 +6,7 @@
 export * from "./demand.js";
 export * from "./endpointDirectory.js";
 export * from "./endpointHealth.js";
-export * from "./endpointLives.js";
+export * from "./endpointIncarnations.js";
 export * from "./engineBoard.js";
 export * from "./engineSpeeds.js";
 export * from "./retryDecision.js";
