--- a/packages/gateway/src/beliefs.ts
+++ b/packages/gateway/src/beliefs.ts
@@ -29,7 +29,7 @@
   readonly view: fleetViews.FleetView;
   readonly log: decisionLogs.DecisionLog;
   /** Called for each change of a belief about an endpoint. */
-  readonly onEndpoint: (news: serving.EndpointNews) => void;
+  readonly onEndpoint: (news: serving.EndpointUpdate) => void;
   /** Called when an engine's role was changed, with its service, its role, and how long ago that was, in milliseconds. */
   readonly onRoleChange: (service: string, role: serving.EngineRole, agoMs: number) => void;
   /** Takes what the key-value service keeps of a request that is rejected. */
@@ -242,7 +242,7 @@
     this.#parts.log.info("daemon-left", { daemon: entry.vm });
   }
 
-  #tell(news: serving.EndpointNews, source: Source, fault = "it doesn't say when the endpoint started"): void {
+  #tell(news: serving.EndpointUpdate, source: Source, fault = "it doesn't say when the endpoint started"): void {
     const { id, endpoint, change, revision, formerBornAt } = news;
     if (change === serving.EndpointChange.SetAside) {
       const service = endpoint?.service;
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -369,7 +369,7 @@
     }
   }
 
-  #onEndpoint(news: serving.EndpointNews): void {
+  #onEndpoint(news: serving.EndpointUpdate): void {
     // Peers are told no entry that can't be used: it may be long, and those of an older form would only log it.
     const setAside = news.change === serving.EndpointChange.SetAside;
     const { revision, leavingBornAt: bornAt } = news;
--- a/packages/gateway/tests/beliefs.test.ts
+++ b/packages/gateway/tests/beliefs.test.ts
@@ -23,7 +23,7 @@
 function believing(): { beliefs: beliefsModule.Beliefs; view: fleetViews.FleetView } {
   const view = new fleetViews.FleetView();
   const log = new decisionLogs.DecisionLog("vm-1", "fatal", { writableLength: 0, write: () => true });
-  const onEndpoint = (news: serving.EndpointNews): void => {
+  const onEndpoint = (news: serving.EndpointUpdate): void => {
     if (news.change === serving.EndpointChange.Gone) view.endpointDocuments.delete(news.id);
   };
   const ignore = (): void => undefined;
--- a/packages/serving/src/endpointDirectory.ts
+++ b/packages/serving/src/endpointDirectory.ts
@@ -41,7 +41,7 @@
 }
 
 /** A change of a belief, with the store's revision that it rests on. */
-export interface EndpointNews {
+export interface EndpointUpdate {
   readonly change: EndpointChange;
   readonly id: string;
   /** The endpoint as last believed in; undefined if nothing usable was ever said of it. */
@@ -99,7 +99,7 @@
    * @param revision - revision of the write
    * @returns what changed, if anything that matters did
    */
-  put(endpoint: Endpoint, revision: number): EndpointNews | undefined {
+  put(endpoint: Endpoint, revision: number): EndpointUpdate | undefined {
     const { id, bornAt } = endpoint;
     this.#noteRevision(revision);
     if (this.#lives.isOutdated(id, bornAt, revision)) return undefined;
@@ -128,7 +128,7 @@
    * @param revision - revision of the entry
    * @returns what changed, if the entry before could be used
    */
-  setAside(id: string, revision: number): EndpointNews | undefined {
+  setAside(id: string, revision: number): EndpointUpdate | undefined {
     this.#noteRevision(revision);
     const known = this.#entries.get(id);
     if (this.#lives.isVoid(id, revision)) return undefined;
@@ -146,7 +146,7 @@
    * @param bornAt - start of the life that is leaving, in Unix milliseconds; undefined where the entry is gone
    * @returns what changed, if the endpoint was known
    */
-  remove(id: string, revision: number, bornAt?: number): EndpointNews | undefined {
+  remove(id: string, revision: number, bornAt?: number): EndpointUpdate | undefined {
     this.#noteRevision(revision);
     const known = this.#entries.get(id);
     const newest = this.#lives.bornAtOf(id);
@@ -164,7 +164,7 @@
    * @param endpoint - the endpoint as it was believed in when the request was sent
    * @returns what changed, if that life of the endpoint is still believed in; a newer entry brings it back
    */
-  replaced(endpoint: Endpoint): EndpointNews | undefined {
+  replaced(endpoint: Endpoint): EndpointUpdate | undefined {
     const known = this.#entries.get(endpoint.id);
     if (known === undefined || !this.isSameIncarnation(endpoint)) return undefined;
     this.#lives.noteLeaving(endpoint.id, endpoint.bornAt, known.revision);
@@ -177,7 +177,7 @@
    * @param endpoint - the engine as it was believed in when the request was sent
    * @returns what changed, if that life of the engine is still believed in and has a role
    */
-  declinedRole(endpoint: Endpoint): EndpointNews | undefined {
+  declinedRole(endpoint: Endpoint): EndpointUpdate | undefined {
     const known = this.#entries.get(endpoint.id);
     if (known === undefined || known.endpoint.role === EngineRole.None) return undefined;
     if (!this.isSameIncarnation(endpoint)) return undefined;
@@ -230,7 +230,7 @@
    * @param now - current time in milliseconds
    * @returns what changed
    */
-  replace(listing: readonly ListedEntry[], revision: number, now: number): EndpointNews[] {
+  replace(listing: readonly ListedEntry[], revision: number, now: number): EndpointUpdate[] {
     const changes = listing.map((item) =>
       item.endpoint === undefined ? this.setAside(item.id, item.revision) : this.put(item.endpoint, item.revision),
     );
@@ -309,7 +309,7 @@
     return isSame(before, endpoint) ? undefined : EndpointChange.Changed;
   }
 
-  #drop(known: Entry, revision: number, leavingBornAt: number | undefined): EndpointNews {
+  #drop(known: Entry, revision: number, leavingBornAt: number | undefined): EndpointUpdate {
     const { endpoint } = known;
     this.#entries.delete(endpoint.id);
     this.#byService.get(endpoint.service)?.delete(endpoint.id);
