--- a/packages/gateway/src/storeFollower.ts
+++ b/packages/gateway/src/storeFollower.ts
@@ -170,7 +170,7 @@
       log.info("store-regained", { awayMs });
       this.#away = false;
       view.directory.storeReturned(now);
-      this.#listDueAt = now + serving.REGISTRATION_RETURN_MS;
+      this.#listDueAt = now + serving.REREGISTRATION_GRACE_MS;
     }
     this.#answeredAt = now;
     this.#askedSince = undefined;
--- a/packages/serving/src/endpointDirectory.ts
+++ b/packages/serving/src/endpointDirectory.ts
@@ -73,7 +73,7 @@
  * meanwhile are written again by endpoints that live, in milliseconds (two
  * seconds, and a little for the way).
  */
-export const REGISTRATION_RETURN_MS = 2_300;
+export const REREGISTRATION_GRACE_MS = 2_300;
 
 /**
  * Endpoints by the newest word of each, from the key-value service or a peer. An
@@ -247,7 +247,7 @@
    * @param now - current time in milliseconds
    */
   storeReturned(now: number): void {
-    this.#lapsesBelievedAt = now + REGISTRATION_RETURN_MS;
+    this.#lapsesBelievedAt = now + REREGISTRATION_GRACE_MS;
   }
 
   /**
--- a/packages/serving/tests/endpointDirectory.test.ts
+++ b/packages/serving/tests/endpointDirectory.test.ts
@@ -56,7 +56,7 @@
   directory.storeReturned(1_000);
   directory.replace([], 12, 1_100);
   assert.ok(directory.mayServe("e1"));
-  directory.replace([], 13, 1_000 + serving.REGISTRATION_RETURN_MS);
+  directory.replace([], 13, 1_000 + serving.REREGISTRATION_GRACE_MS);
   assert.not.ok(directory.mayServe("e1"));
 });
 
