--- a/packages/gateway/src/storeFollower.ts
+++ b/packages/gateway/src/storeFollower.ts
@@ -169,7 +169,7 @@
       const awayMs = Math.round(now - (this.#answeredAt ?? 0));
       log.info("store-regained", { awayMs });
       this.#away = false;
-      view.directory.storeReturned(now);
+      view.directory.noteStoreRecovered(now);
       this.#listDueAt = now + serving.REREGISTRATION_GRACE_MS;
     }
     this.#answeredAt = now;
--- a/packages/serving/src/endpointDirectory.ts
+++ b/packages/serving/src/endpointDirectory.ts
@@ -246,7 +246,7 @@
    *
    * @param now - current time in milliseconds
    */
-  storeReturned(now: number): void {
+  noteStoreRecovered(now: number): void {
     this.#lapsesBelievedAt = now + REREGISTRATION_GRACE_MS;
   }
 
--- a/packages/serving/tests/endpointDirectory.test.ts
+++ b/packages/serving/tests/endpointDirectory.test.ts
@@ -53,7 +53,7 @@
 suite("entries that lapsed in an outage are kept until the endpoints had time to return", () => {
   const directory = new serving.EndpointDirectory();
   directory.put(endpoint("e1"), 5);
-  directory.storeReturned(1_000);
+  directory.noteStoreRecovered(1_000);
   directory.replace([], 12, 1_100);
   assert.ok(directory.mayServe("e1"));
   directory.replace([], 13, 1_000 + serving.REREGISTRATION_GRACE_MS);
