--- a/packages/gateway/src/beliefs.ts
+++ b/packages/gateway/src/beliefs.ts
@@ -85,7 +85,7 @@
     if (event.key.startsWith(layout.daemonPrefix)) this.#removeDaemon(event.key);
     if (!event.key.startsWith(layout.endpointPrefix)) return;
     // A removal just after the service's return may be a lapse of the outage; the listing that follows tells.
-    if (view.directory.lapsesDoubted(performance.now())) return;
+    if (view.directory.isReregistrationGraceActive(performance.now())) return;
     const departure = { revision: event.revision, bornAt: undefined, setAside: false };
     this.takeDeparture(event.key.slice(layout.endpointPrefix.length), departure, Source.Store);
   }
--- a/packages/serving/src/endpointDirectory.ts
+++ b/packages/serving/src/endpointDirectory.ts
@@ -254,7 +254,7 @@
    * @param now - current time in milliseconds
    * @returns whether removals may be lapses of an outage that has just ended
    */
-  lapsesDoubted(now: number): boolean {
+  isReregistrationGraceActive(now: number): boolean {
     return now < this.#lapsesBelievedAt;
   }
 
