--- a/packages/serving/src/endpointDirectory.ts
+++ b/packages/serving/src/endpointDirectory.ts
@@ -164,7 +164,7 @@
    * @param endpoint - the endpoint as it was believed in when the request was sent
    * @returns what changed, if that life of the endpoint is still believed in; a newer entry brings it back
    */
-  replaced(endpoint: Endpoint): EndpointUpdate | undefined {
+  markReplaced(endpoint: Endpoint): EndpointUpdate | undefined {
     const known = this.#entries.get(endpoint.id);
     if (known === undefined || !this.isSameIncarnation(endpoint)) return undefined;
     this.#lives.noteLeaving(endpoint.id, endpoint.bornAt, known.revision);
--- a/packages/serving/tests/endpointIncarnations.test.ts
+++ b/packages/serving/tests/endpointIncarnations.test.ts
@@ -108,7 +108,7 @@
   const former = endpoint({ bornAt: 1, role: serving.EngineRole.Decode });
   directory.put(former, 5);
   directory.put(endpoint({ bornAt: 2, address: "10.0.0.2:80", role: serving.EngineRole.Decode }), 6);
-  assert.is(directory.replaced(former), undefined);
+  assert.is(directory.markReplaced(former), undefined);
   assert.is(directory.declinedRole(former), undefined);
   assert.ok(directory.mayServe("e1"));
   assert.not.ok(directory.isSameIncarnation(former));
@@ -117,7 +117,7 @@
 suite("an endpoint that is replaced is told with its start, one whose entry is gone without", () => {
   const directory = new serving.EndpointDirectory();
   directory.put(endpoint({ bornAt: 1 }), 5);
-  assert.is(directory.replaced(endpoint({ bornAt: 1 }))?.leavingBornAt, 1);
+  assert.is(directory.markReplaced(endpoint({ bornAt: 1 }))?.leavingBornAt, 1);
   directory.put(endpoint({ bornAt: 1 }), 6);
   assert.is(directory.remove("e1", 7)?.leavingBornAt, undefined);
 });
