--- a/packages/gateway/src/beliefs.ts
+++ b/packages/gateway/src/beliefs.ts
@@ -148,7 +148,7 @@
   takeMisdirected(endpoint: serving.Endpoint, answeredBy: string | undefined): void {
     const { directory } = this.#parts.view;
     const replaced = answeredBy !== undefined && answeredBy !== endpoint.id;
-    const news = replaced ? directory.markReplaced(endpoint) : directory.declinedRole(endpoint);
+    const news = replaced ? directory.markReplaced(endpoint) : directory.markRoleDeclined(endpoint);
     if (news !== undefined) this.#tell(news, Source.Endpoint);
   }
 
--- a/packages/serving/src/endpointDirectory.ts
+++ b/packages/serving/src/endpointDirectory.ts
@@ -177,7 +177,7 @@
    * @param endpoint - the engine as it was believed in when the request was sent
    * @returns what changed, if that life of the engine is still believed in and has a role
    */
-  declinedRole(endpoint: Endpoint): EndpointUpdate | undefined {
+  markRoleDeclined(endpoint: Endpoint): EndpointUpdate | undefined {
     const known = this.#entries.get(endpoint.id);
     if (known === undefined || known.endpoint.role === EngineRole.None) return undefined;
     if (!this.isSameIncarnation(endpoint)) return undefined;
--- a/packages/serving/tests/endpointIncarnations.test.ts
+++ b/packages/serving/tests/endpointIncarnations.test.ts
@@ -109,7 +109,7 @@
   directory.put(former, 5);
   directory.put(endpoint({ bornAt: 2, address: "10.0.0.2:80", role: serving.EngineRole.Decode }), 6);
   assert.is(directory.markReplaced(former), undefined);
-  assert.is(directory.declinedRole(former), undefined);
+  assert.is(directory.markRoleDeclined(former), undefined);
   assert.ok(directory.mayServe("e1"));
   assert.not.ok(directory.isSameIncarnation(former));
 });
