--- a/packages/gateway/src/beliefs.ts
+++ b/packages/gateway/src/beliefs.ts
@@ -67,7 +67,7 @@
       if (item.key.startsWith(layout.daemonPrefix)) daemons.add(item.key);
       this.#takeItem(item);
     }
-    const changes = view.directory.replace(endpoints, listing.revision, performance.now());
+    const changes = view.directory.applyListing(endpoints, listing.revision, performance.now());
     for (const { key, value, revision } of documents) {
       this.#keepDocument(key.slice(layout.endpointPrefix.length), value, revision);
     }
--- a/packages/serving/src/endpointDirectory.ts
+++ b/packages/serving/src/endpointDirectory.ts
@@ -230,7 +230,7 @@
    * @param now - current time in milliseconds
    * @returns what changed
    */
-  replace(listing: readonly ListedEntry[], revision: number, now: number): EndpointUpdate[] {
+  applyListing(listing: readonly ListedEntry[], revision: number, now: number): EndpointUpdate[] {
     const changes = listing.map((item) =>
       item.endpoint === undefined ? this.setAside(item.id, item.revision) : this.put(item.endpoint, item.revision),
     );
--- a/packages/serving/tests/endpointDirectory.test.ts
+++ b/packages/serving/tests/endpointDirectory.test.ts
@@ -54,9 +54,9 @@
   const directory = new serving.EndpointDirectory();
   directory.put(endpoint("e1"), 5);
   directory.noteStoreRecovered(1_000);
-  directory.replace([], 12, 1_100);
+  directory.applyListing([], 12, 1_100);
   assert.ok(directory.mayServe("e1"));
-  directory.replace([], 13, 1_000 + serving.REREGISTRATION_GRACE_MS);
+  directory.applyListing([], 13, 1_000 + serving.REREGISTRATION_GRACE_MS);
   assert.not.ok(directory.mayServe("e1"));
 });
 
