--- a/packages/gateway/src/roleChanger.ts
+++ b/packages/gateway/src/roleChanger.ts
@@ -93,7 +93,7 @@
   #decide(service: string, limits: serving.EngineLimits): serving.RoleChange | undefined {
     const { board, demand, speeds, view } = this.#parts.context;
     const now = performance.now();
-    const engines = view.directory.serving(service).map((engine) => ({
+    const engines = view.directory.availableEndpoints(service).map((engine) => ({
       id: engine.id,
       role: view.roleToCome(engine, now),
       running: board.running(engine.id, now),
@@ -142,7 +142,7 @@
 
   async #carryOut(service: string, change: serving.RoleChange): Promise<void> {
     const { context, authority } = this.#parts;
-    const engine = context.view.directory.serving(service).find((each) => each.id === change.endpointId);
+    const engine = context.view.directory.availableEndpoints(service).find((each) => each.id === change.endpointId);
     if (engine === undefined) return;
     this.#balance(service).putOff();
     const asked = await this.#calls.askState(engine);
--- a/packages/gateway/src/sendChooser.ts
+++ b/packages/gateway/src/sendChooser.ts
@@ -82,7 +82,7 @@
     const daemons = this.#context.liveDaemons();
     const now = performance.now();
     const open = view.directory
-      .serving(this.#served.service)
+      .availableEndpoints(this.#served.service)
       .filter((endpoint) => !this.#served.wasTried(endpoint.id) && !view.isChanging(endpoint, now))
       .filter((endpoint) =>
         client.hasRoom(endpoint.id, definition?.maxConnections ?? Number.MAX_SAFE_INTEGER, daemons),
--- a/packages/gateway/src/servedRequest.ts
+++ b/packages/gateway/src/servedRequest.ts
@@ -168,7 +168,7 @@
    */
   decide(fate: serving.SendOutcome): serving.NextStep {
     const { view, budgets } = this.#context;
-    const others = view.directory.serving(this.#service).some((endpoint) => !this.#tried.has(endpoint.id));
+    const others = view.directory.availableEndpoints(this.#service).some((endpoint) => !this.#tried.has(endpoint.id));
     return serving.nextStep({
       outcome: fate,
       mayHaveRun: this.#mayHaveRun,
--- a/packages/serving/src/endpointDirectory.ts
+++ b/packages/serving/src/endpointDirectory.ts
@@ -271,7 +271,7 @@
    * @param service - the service
    * @returns its endpoints that may get new work
    */
-  serving(service: string): Endpoint[] {
+  availableEndpoints(service: string): Endpoint[] {
     const found: Endpoint[] = [];
     for (const id of this.#byService.get(service) ?? []) {
       const entry = this.#entries.get(id);
