--- a/packages/gateway/src/suspects/crashProtection.ts
+++ b/packages/gateway/src/suspects/crashProtection.ts
@@ -44,7 +44,7 @@
     this.endDetector = new endpointEndDetectors.EndpointEndDetector({
       log,
       hasLiveConnection: (endpointId) => client.hasLiveConnection(endpointId),
-      isLeaving: ({ id }) => !directory.mayServe(id),
+      isLeaving: ({ id }) => !directory.isAvailable(id),
       onEnded: (endpoint, runs) => {
         onEnded();
         this.gate.noteEnded(endpoint, runs);
--- a/packages/serving/src/endpointDirectory.ts
+++ b/packages/serving/src/endpointDirectory.ts
@@ -262,7 +262,7 @@
    * @param id - an endpoint
    * @returns whether new work may be sent to it
    */
-  mayServe(id: string): boolean {
+  isAvailable(id: string): boolean {
     const entry = this.#entries.get(id);
     return entry !== undefined && !entry.endpoint.leaving && !this.#setAside.has(id);
   }
@@ -275,7 +275,7 @@
     const found: Endpoint[] = [];
     for (const id of this.#byService.get(service) ?? []) {
       const entry = this.#entries.get(id);
-      if (entry !== undefined && this.mayServe(id)) found.push(entry.endpoint);
+      if (entry !== undefined && this.isAvailable(id)) found.push(entry.endpoint);
     }
     return found;
   }
--- a/packages/serving/tests/endpointDirectory.test.ts
+++ b/packages/serving/tests/endpointDirectory.test.ts
@@ -34,7 +34,7 @@
       // Words of one revision are the same word.
       const same = words.filter((each) => each.revision === newest.revision);
       if (same.some((each) => each.leaving !== newest.leaving)) return;
-      assert.is(directory.mayServe("e1"), !newest.leaving);
+      assert.is(directory.isAvailable("e1"), !newest.leaving);
     }),
     { seed: 4 },
   );
@@ -45,7 +45,7 @@
   directory.put(endpoint("e1"), 5);
   directory.remove("e1", 9);
   directory.put(endpoint("e1"), 7);
-  assert.not.ok(directory.mayServe("e1"));
+  assert.not.ok(directory.isAvailable("e1"));
 });
 
 // The key-value service was away and entries lapsed meanwhile, though their endpoints live and serve. Taken for
@@ -55,9 +55,9 @@
   directory.put(endpoint("e1"), 5);
   directory.noteStoreRecovered(1_000);
   directory.applyListing([], 12, 1_100);
-  assert.ok(directory.mayServe("e1"));
+  assert.ok(directory.isAvailable("e1"));
   directory.applyListing([], 13, 1_000 + serving.REREGISTRATION_GRACE_MS);
-  assert.not.ok(directory.mayServe("e1"));
+  assert.not.ok(directory.isAvailable("e1"));
 });
 
 // An endpoint is taken for gone when its entry lapses, and its entry comes back: it lives after all.
@@ -66,7 +66,7 @@
   directory.put(endpoint("e1"), 5);
   directory.remove("e1", 9);
   assert.is(directory.put(endpoint("e1"), 11)?.change, serving.EndpointChange.Returned);
-  assert.ok(directory.mayServe("e1"));
+  assert.ok(directory.isAvailable("e1"));
 });
 
 suite.run();
--- a/packages/serving/tests/endpointIncarnations.test.ts
+++ b/packages/serving/tests/endpointIncarnations.test.ts
@@ -74,7 +74,7 @@
       const latest = Math.max(...words.map(({ bornAt }) => bornAt));
       const newest = words.filter(({ bornAt }) => bornAt === latest).at(-1);
       const directory = takeAll(order);
-      assert.is(directory.mayServe("e1"), newest?.kind === Kind.Ready);
+      assert.is(directory.isAvailable("e1"), newest?.kind === Kind.Ready);
       assert.is(directory.bornAtOf("e1"), latest);
     }),
     { seed: 13, numRuns: RUNS },
@@ -85,7 +85,7 @@
 suite("removals and another writer's entries count by their revision in any order", () => {
   fastCheck.assert(
     fastCheck.property(heard(Object.values(Kind), 1), ([words, order]) => {
-      assert.is(takeAll(order).mayServe("e1"), words.at(-1)?.kind === Kind.Ready);
+      assert.is(takeAll(order).isAvailable("e1"), words.at(-1)?.kind === Kind.Ready);
     }),
     { seed: 14, numRuns: RUNS },
   );
@@ -96,9 +96,9 @@
   const directory = new serving.EndpointDirectory();
   directory.put(endpoint({ bornAt: 2 }), 5);
   assert.is(directory.remove("e1", 9, 1), undefined);
-  assert.ok(directory.mayServe("e1"));
+  assert.ok(directory.isAvailable("e1"));
   assert.is(directory.remove("e1", 4, 3)?.change, serving.EndpointChange.Gone);
-  assert.not.ok(directory.mayServe("e1"));
+  assert.not.ok(directory.isAvailable("e1"));
 });
 
 // A request was sent to the former life's address, where another endpoint answers by now. That says nothing of the new
@@ -110,7 +110,7 @@
   directory.put(endpoint({ bornAt: 2, address: "10.0.0.2:80", role: serving.EngineRole.Decode }), 6);
   assert.is(directory.markReplaced(former), undefined);
   assert.is(directory.markRoleDeclined(former), undefined);
-  assert.ok(directory.mayServe("e1"));
+  assert.ok(directory.isAvailable("e1"));
   assert.not.ok(directory.isSameIncarnation(former));
 });
 
