--- a/packages/gateway/src/endpointLessons.ts
+++ b/packages/gateway/src/endpointLessons.ts
@@ -25,7 +25,7 @@
    */
   judge(active: activeSends.ActiveSend, result: serving.SendResult): void {
     if (!this.#isOfThisLife(active)) return;
-    const changed = this.#context.health.record(active.endpoint.id, result, performance.now());
+    const changed = this.#context.health.recordResult(active.endpoint.id, result, performance.now());
     if (!changed) return;
     const bad = this.#context.health.isBad(active.endpoint.id);
     this.#context.log.warn(bad ? "endpoint-bad" : "endpoint-good", { endpoint: active.endpoint.id, result });
--- a/packages/serving/src/endpointHealth.ts
+++ b/packages/serving/src/endpointHealth.ts
@@ -61,7 +61,7 @@
    * @param now - current instant in milliseconds
    * @returns whether the endpoint counts as bad from now on though it did not before, or the reverse
    */
-  record(endpointId: string, result: SendResult, now: number): boolean {
+  recordResult(endpointId: string, result: SendResult, now: number): boolean {
     const state = this.#state(endpointId);
     const before = state.badness >= BAD_FROM;
     state.badness = state.badness * (1 - NEWEST_WEIGHT) + BADNESS[result] * NEWEST_WEIGHT;
--- a/packages/serving/tests/endpointHealth.test.ts
+++ b/packages/serving/tests/endpointHealth.test.ts
@@ -12,7 +12,7 @@
 const DECODE = [engine("d1", serving.EngineRole.Decode), engine("d2", serving.EngineRole.Decode)];
 
 function fail(health: serving.EndpointHealth, id: string, times = 4): void {
-  for (let count = 0; count < times; count++) health.record(id, serving.SendResult.Failed, 0);
+  for (let count = 0; count < times; count++) health.recordResult(id, serving.SendResult.Failed, 0);
 }
 
 const ids = (endpoints: readonly serving.Endpoint[]): string[] => endpoints.map((endpoint) => endpoint.id).sort();
@@ -51,7 +51,7 @@
 suite("a good result brings an endpoint back", () => {
   const health = new serving.EndpointHealth();
   fail(health, "d1");
-  for (let count = 0; count < 3; count++) health.record("d1", serving.SendResult.Good, 1);
+  for (let count = 0; count < 3; count++) health.recordResult("d1", serving.SendResult.Good, 1);
   assert.not.ok(health.isBad("d1"));
 });
 
