--- a/packages/experiment/src/emulatedDaemon.ts
+++ b/packages/experiment/src/emulatedDaemon.ts
@@ -177,7 +177,7 @@
   }
 
   #learnRead(plan: serving.EnginePlan, endpoint: serving.Endpoint, prompt: serving.Prompt, tookMs: number): void {
-    this.#health.recordTime(endpoint.id, plan.predictedMs, tookMs);
+    this.#health.recordLatency(endpoint.id, plan.predictedMs, tookMs);
     if (plan.copySource !== undefined) return;
     this.speeds.observeReading(endpoint.role, {
       unreadTokens: plan.unreadTokens,
--- a/packages/gateway/src/endpointLessons.ts
+++ b/packages/gateway/src/endpointLessons.ts
@@ -38,7 +38,7 @@
     const tookMs = now - active.sentAt;
     this.#noteRead(active);
     this.#learnReading(active, tookMs, now);
-    this.#context.health.recordTime(active.endpoint.id, active.predictedMs, tookMs);
+    this.#context.health.recordLatency(active.endpoint.id, active.predictedMs, tookMs);
     this.#context.log.info("prompt-read", {
       id: this.#served.id,
       endpoint: active.endpoint.id,
--- a/packages/serving/src/endpointHealth.ts
+++ b/packages/serving/src/endpointHealth.ts
@@ -79,7 +79,7 @@
    * @param predictedMs - time to the first event as predicted for a sound endpoint
    * @param actualMs - the time it took
    */
-  recordTime(endpointId: string, predictedMs: number, actualMs: number): void {
+  recordLatency(endpointId: string, predictedMs: number, actualMs: number): void {
     const state = this.#state(endpointId);
     const ratio = clamp(actualMs / Math.max(1, predictedMs));
     state.slowness = clamp(state.slowness * (1 - NEWEST_TIME_WEIGHT) + ratio * NEWEST_TIME_WEIGHT);
