--- a/packages/gateway/src/endpointLessons.ts
+++ b/packages/gateway/src/endpointLessons.ts
@@ -27,7 +27,7 @@
     if (!this.#isOfThisLife(active)) return;
     const changed = this.#context.health.recordResult(active.endpoint.id, result, performance.now());
     if (!changed) return;
-    const bad = this.#context.health.isBad(active.endpoint.id);
+    const bad = this.#context.health.isUnhealthy(active.endpoint.id);
     this.#context.log.warn(bad ? "endpoint-bad" : "endpoint-good", { endpoint: active.endpoint.id, result });
   }
 
--- a/packages/serving/src/endpointHealth.ts
+++ b/packages/serving/src/endpointHealth.ts
@@ -97,7 +97,7 @@
    * @param endpointId - the endpoint
    * @returns whether its results are bad now
    */
-  isBad(endpointId: string): boolean {
+  isUnhealthy(endpointId: string): boolean {
     return (this.#states.get(endpointId)?.badness ?? 0) >= BAD_FROM;
   }
 
@@ -126,7 +126,7 @@
     trials: boolean,
     now: number,
   ): readonly directories.Endpoint[] {
-    const good = endpoints.filter((endpoint) => !this.isBad(endpoint.id));
+    const good = endpoints.filter((endpoint) => !this.isUnhealthy(endpoint.id));
     const due = trials ? endpoints.find((endpoint) => this.#isDue(endpoint.id, now)) : undefined;
     if (due !== undefined) {
       const state = this.#state(due.id);
@@ -137,7 +137,7 @@
   }
 
   #isDue(endpointId: string, now: number): boolean {
-    return this.isBad(endpointId) && this.#state(endpointId).trialAt <= now;
+    return this.isUnhealthy(endpointId) && this.#state(endpointId).trialAt <= now;
   }
 
   /** @param endpointId - an endpoint that is gone */
--- a/packages/serving/tests/endpointHealth.test.ts
+++ b/packages/serving/tests/endpointHealth.test.ts
@@ -52,7 +52,7 @@
   const health = new serving.EndpointHealth();
   fail(health, "d1");
   for (let count = 0; count < 3; count++) health.recordResult("d1", serving.SendResult.Good, 1);
-  assert.not.ok(health.isBad("d1"));
+  assert.not.ok(health.isUnhealthy("d1"));
 });
 
 suite.run();
