--- a/packages/gateway/src/sendChooser.ts
+++ b/packages/gateway/src/sendChooser.ts
@@ -88,7 +88,7 @@
         client.hasRoom(endpoint.id, definition?.maxConnections ?? Number.MAX_SAFE_INTEGER, daemons),
       );
     const trials = serving.mayRetry(this.#served.route);
-    return health.usable(open, trials, now);
+    return health.selectUsable(open, trials, now);
   }
 
   #choosePlain(definition: serving.Service | undefined): Choice {
--- a/packages/serving/src/endpointHealth.ts
+++ b/packages/serving/src/endpointHealth.ts
@@ -50,7 +50,7 @@
 /**
  * Judges endpoints by results, as health answers may be false either way. A bad
  * endpoint is passed over, and is tried with one request from time to time, so
- * that it comes back by itself; {@link usable} never leaves out all.
+ * that it comes back by itself; {@link selectUsable} never leaves out all.
  */
 export class EndpointHealth {
   readonly #states = new Map<string, State>();
@@ -110,7 +110,7 @@
    * @param now - current instant in milliseconds
    * @returns those to choose from: the good ones of each role, one that is due for a trial, or all if none is good
    */
-  usable(endpoints: readonly directories.Endpoint[], trials: boolean, now: number): directories.Endpoint[] {
+  selectUsable(endpoints: readonly directories.Endpoint[], trials: boolean, now: number): directories.Endpoint[] {
     const roles = new Set(endpoints.map((endpoint) => endpoint.role));
     return [...roles].flatMap((role) =>
       this.#usableOfRole(
--- a/packages/serving/tests/endpointHealth.test.ts
+++ b/packages/serving/tests/endpointHealth.test.ts
@@ -22,30 +22,30 @@
 suite("a trial of one role leaves the other role's engines to choose from", () => {
   const health = new serving.EndpointHealth();
   fail(health, "p1");
-  const usable = health.usable([...PREFILL, ...DECODE], true, 60_000);
+  const usable = health.selectUsable([...PREFILL, ...DECODE], true, 60_000);
   assert.equal(ids(usable), ["d1", "d2", "p1"]);
 });
 
 suite("a bad endpoint gets nothing until its trial, and then one request", () => {
   const health = new serving.EndpointHealth();
   fail(health, "d1");
-  assert.equal(ids(health.usable(DECODE, true, 1)), ["d2"]);
-  assert.equal(ids(health.usable(DECODE, true, 60_000)), ["d1"]);
-  assert.equal(ids(health.usable(DECODE, true, 60_001)), ["d2"]);
+  assert.equal(ids(health.selectUsable(DECODE, true, 1)), ["d2"]);
+  assert.equal(ids(health.selectUsable(DECODE, true, 60_000)), ["d1"]);
+  assert.equal(ids(health.selectUsable(DECODE, true, 60_001)), ["d2"]);
 });
 
 // A label print that is tried on a bad endpoint can't be taken elsewhere if it is lost there.
 suite("what may run once is no trial", () => {
   const health = new serving.EndpointHealth();
   fail(health, "d1");
-  assert.equal(ids(health.usable(DECODE, false, 60_000)), ["d2"]);
+  assert.equal(ids(health.selectUsable(DECODE, false, 60_000)), ["d2"]);
 });
 
 suite("all are used if none is good", () => {
   const health = new serving.EndpointHealth();
   fail(health, "d1");
   fail(health, "d2");
-  assert.equal(ids(health.usable(DECODE, false, 1)), ["d1", "d2"]);
+  assert.equal(ids(health.selectUsable(DECODE, false, 1)), ["d1", "d2"]);
 });
 
 suite("a good result brings an endpoint back", () => {
