--- a/packages/gateway/src/suspects/suspectGate.ts
+++ b/packages/gateway/src/suspects/suspectGate.ts
@@ -100,7 +100,7 @@
       for (const fingerprint of [fingerprints.content, fingerprints.contentAndCaller]) {
         if (this.#observed.size >= MOST_OBSERVED) this.#observed.clear();
         this.#observed.add(fingerprint);
-        this.table.noteEnd(fingerprint, life, brokeAt, now);
+        this.table.noteCrash(fingerprint, life, brokeAt, now);
       }
     }
   }
--- a/packages/serving/src/suspectTable.ts
+++ b/packages/serving/src/suspectTable.ts
@@ -109,7 +109,7 @@
    * @param endedAt - when it ended, in milliseconds
    * @param now - current instant in milliseconds
    */
-  noteEnd(fingerprint: string, life: number, endedAt: number, now: number): void {
+  noteCrash(fingerprint: string, life: number, endedAt: number, now: number): void {
     const suspect = this.#suspect(fingerprint, now);
     if (!addEnd(suspect, life, endedAt)) return;
     suspect.changedAt = now;
--- a/packages/serving/tests/suspectTable.test.ts
+++ b/packages/serving/tests/suspectTable.test.ts
@@ -10,7 +10,7 @@
 }
 
 function ended(table: serving.SuspectTable, fingerprint: string, lives: readonly number[], at = 0): void {
-  for (const [index, life] of lives.entries()) table.noteEnd(fingerprint, life, at + index, at + index);
+  for (const [index, life] of lives.entries()) table.noteCrash(fingerprint, life, at + index, at + index);
 }
 
 const suite = uvu.suite("requests under which endpoints ended");
@@ -19,7 +19,7 @@
   const table = tableOf();
   assert.is(table.isEmpty, true);
   const seen = [1, 2, 3].map((life) => {
-    table.noteEnd("f", life, life, life);
+    table.noteCrash("f", life, life, life);
     return table.suspicionOf("f", life);
   });
   assert.equal(seen, [serving.Suspicion.Suspected, serving.Suspicion.Isolated, serving.Suspicion.Quarantined]);
@@ -38,9 +38,9 @@
   ended(table, "f", [1, 2]);
   table.noteCleanRun("f", 100);
   assert.is(table.suspicionOf("f", 100), serving.Suspicion.None);
-  table.noteEnd("f", 3, 50, 101);
+  table.noteCrash("f", 3, 50, 101);
   assert.is(table.suspicionOf("f", 101), serving.Suspicion.None);
-  table.noteEnd("f", 4, 120, 121);
+  table.noteCrash("f", 4, 120, 121);
   assert.is(table.suspicionOf("f", 121), serving.Suspicion.Suspected);
 });
 
@@ -59,7 +59,7 @@
   ended(table, "f", [1, 2, 3]);
   const after = 10 * MINUTE_MS + 3;
   assert.is(table.suspicionOf("f", after), serving.Suspicion.Isolated);
-  table.noteEnd("f", 4, after, after);
+  table.noteCrash("f", 4, after, after);
   assert.is(table.rejectedForMs("f", after), 20 * MINUTE_MS);
 });
 
@@ -115,7 +115,7 @@
         now += 10;
         // A life ends once, at one instant, whoever sees it.
         if (isClean) daemons[daemon]?.noteCleanRun(fingerprint, now);
-        else daemons[daemon]?.noteEnd(fingerprint, life, life * 25, now);
+        else daemons[daemon]?.noteCrash(fingerprint, life, life * 25, now);
       }
       for (let round = 0; round < 3; round++) {
         now += 10;
@@ -150,7 +150,7 @@
 suite("the table and its messages are bounded, and the gravest stay", () => {
   const table = tableOf();
   ended(table, "grave", [1, 2, 3]);
-  for (let index = 0; index < 5_000; index++) table.noteEnd(`f${index}`, index, index, index);
+  for (let index = 0; index < 5_000; index++) table.noteCrash(`f${index}`, index, index, index);
   assert.ok(table.count(5_000) <= 1_024);
   assert.is(table.suspicionOf("grave", 5_000), serving.Suspicion.Quarantined);
   const records = table.recordsToPublish(5_000);
