--- a/packages/gateway/src/suspects/suspectGate.ts
+++ b/packages/gateway/src/suspects/suspectGate.ts
@@ -78,7 +78,7 @@
     if (this.table.isEmpty) return;
     const now = performance.now();
     const { content, contentAndCaller: ofCaller } = served.fingerprints;
-    for (const fingerprint of [content, ofCaller]) this.table.noteCleanRun(fingerprint, now);
+    for (const fingerprint of [content, ofCaller]) this.table.noteSuccess(fingerprint, now);
   }
 
   /** @param served - a request that is over */
--- a/packages/serving/src/suspectTable.ts
+++ b/packages/serving/src/suspectTable.ts
@@ -120,7 +120,7 @@
    * @param fingerprint - a request whose run has ended well, or that an operator lifts
    * @param now - current instant in milliseconds
    */
-  noteCleanRun(fingerprint: string, now: number): void {
+  noteSuccess(fingerprint: string, now: number): void {
     const suspect = this.#suspects.get(fingerprint);
     if (suspect === undefined || suspect.ends.size === 0) return;
     clear(suspect, now);
--- a/packages/serving/tests/suspectTable.test.ts
+++ b/packages/serving/tests/suspectTable.test.ts
@@ -36,7 +36,7 @@
 suite("a run that ended well clears what was before, and nothing after", () => {
   const table = tableOf();
   ended(table, "f", [1, 2]);
-  table.noteCleanRun("f", 100);
+  table.noteSuccess("f", 100);
   assert.is(table.suspicionOf("f", 100), serving.Suspicion.None);
   table.noteCrash("f", 3, 50, 101);
   assert.is(table.suspicionOf("f", 101), serving.Suspicion.None);
@@ -50,7 +50,7 @@
   assert.is(table.suspicionOf("innocent", 5), serving.Suspicion.Isolated);
   ended(table, "guilty", [1, 2, 3]);
   assert.is(table.suspicionOf("innocent", 5), serving.Suspicion.None);
-  table.noteCleanRun("guilty", 10);
+  table.noteSuccess("guilty", 10);
   assert.is(table.suspicionOf("innocent", 10), serving.Suspicion.Isolated);
 });
 
@@ -81,7 +81,7 @@
   const table = tableOf();
   ended(table, "f", [1, 2, 3]);
   const old = table.recordsToPublish(10);
-  table.noteCleanRun("f", 100);
+  table.noteSuccess("f", 100);
   for (const record of old) {
     table.merge({ ...record, ends: record.ends.map(({ life, agoMs }) => ({ life, agoMs: agoMs + 190 })) }, 200);
   }
@@ -114,7 +114,7 @@
       for (const { daemon, fingerprint, life, isClean } of happened) {
         now += 10;
         // A life ends once, at one instant, whoever sees it.
-        if (isClean) daemons[daemon]?.noteCleanRun(fingerprint, now);
+        if (isClean) daemons[daemon]?.noteSuccess(fingerprint, now);
         else daemons[daemon]?.noteCrash(fingerprint, life, life * 25, now);
       }
       for (let round = 0; round < 3; round++) {
