--- a/packages/gateway/src/peerLink.ts
+++ b/packages/gateway/src/peerLink.ts
@@ -247,7 +247,7 @@
       followsClosely: this.#parts.followsClosely(),
       entries: this.#changes.entries(now),
       suspects: this.#parts.suspects.recordsToPublish(now).map(suspectCodec.toMessage),
-      tryingSuspect: this.#parts.suspects.isTrying,
+      tryingSuspect: this.#parts.suspects.isRunningTrial,
       changing: [...view.changing]
         .filter(([, change]) => change.until > now)
         .map(([endpoint, change]) => ({
--- a/packages/serving/src/suspectTable.ts
+++ b/packages/serving/src/suspectTable.ts
@@ -99,7 +99,7 @@
   }
 
   /** @returns whether this daemon runs a suspect on trial */
-  get isTrying(): boolean {
+  get isRunningTrial(): boolean {
     return this.#trial !== undefined;
   }
 
