--- a/packages/gateway/src/peerLink.ts
+++ b/packages/gateway/src/peerLink.ts
@@ -344,7 +344,7 @@
       endpoints: needsList ? this.#allEntries() : [],
       departures: this.#changes.departures(now),
       daemons: peer.configurationRevision === 0 ? this.#liveDaemons(now) : [],
-      suspects: this.#parts.suspects.lastingRecords(now).map(suspectCodec.toMessage),
+      suspects: this.#parts.suspects.snapshotRecords(now).map(suspectCodec.toMessage),
     };
   }
 
--- a/packages/serving/src/suspectTable.ts
+++ b/packages/serving/src/suspectTable.ts
@@ -218,7 +218,7 @@
    * @param now - current instant in milliseconds
    * @returns records that a daemon needs when it starts
    */
-  lastingRecords(now: number): SuspectRecord[] {
+  snapshotRecords(now: number): SuspectRecord[] {
     return [...this.#suspects]
       .filter(([, suspect]) => suspect.ends.size >= ISOLATED_FROM && !isFaded(suspect, now))
       .sort(([, left], [, right]) => right.ends.size - left.ends.size)
--- a/packages/serving/tests/suspectTable.test.ts
+++ b/packages/serving/tests/suspectTable.test.ts
@@ -142,7 +142,7 @@
   );
   assert.equal(table.recordsToPublish(5_100), []);
   assert.equal(
-    table.lastingRecords(5_100).map(({ fingerprint }) => fingerprint),
+    table.snapshotRecords(5_100).map(({ fingerprint }) => fingerprint),
     ["grave"],
   );
 });
