--- a/packages/serving/src/activeSet.ts
+++ b/packages/serving/src/activeSet.ts
@@ -1,62 +1,61 @@
 import * as common from "@camphorcourse/common";
 
-/** Fewest daemons of a data centre that take callers: one may die and another be stopped at the same time. */
-export const LEAST_ACTIVE = 3;
+/** Fewest active daemons of a data centre: one may crash while another one is being stopped. */
+export const MIN_ACTIVE = 3;
 
-/** Daemons of a data centre up to which all of them take callers: they know each other's work at once anyway. */
-export const ALL_ACTIVE_UP_TO = 6;
+/** Number of daemons of a data centre up to which all are active: so few exchange their load without delay anyway. */
+export const MAX_ALL_ACTIVE = 6;
 
-/** Least part of a data centre's processor capacity that takes callers, for the load that comes before any was seen. */
-const LEAST_CAPACITY_SHARE = 0.2;
+/** Least share of a data centre's processor capacity that is active, for the load that arrives before any was measured. */
+const MIN_CAPACITY_SHARE = 0.2;
 
-/** Capacity of those that take callers, in multiples of what their work keeps busy: a burst doubles it within a second. */
-const CAPACITY_PER_BUSY = 2;
+/** Capacity of the active daemons in multiples of the cores that are busy: a burst doubles the load within a second. */
+const CAPACITY_PER_BUSY_CORE = 2;
 
-/** Time for which the highest need counts, in milliseconds: callers come back to a daemon's address for some seconds. */
-const NEED_KEPT_MS = 15_000;
+/** Time for which the highest demand counts, in milliseconds: callers reuse a daemon's address for some seconds. */
+const DEMAND_WINDOW_MS = 15_000;
 
-/** A daemon of one data centre, as another one knows it. */
+/** A daemon of one data centre, as another daemon knows it. */
 export interface ActiveSetCandidate {
   readonly vm: string;
   /** Processor capacity of its VM, in cores. */
   readonly capacity: number;
-  /** Part of its capacity that is busy, in cores. */
+  /** Busy part of its capacity, in cores. */
   readonly busyCores: number;
-  /** Whether it says that it takes callers. */
+  /** Whether it reports itself as active. */
   readonly active: boolean;
-  /** The daemons that take callers, as it knows them. */
+  /** VMs of the active daemons, as it knows them. */
   readonly activeVms: readonly string[];
 }
 
-/** Who takes callers in a data centre, and by whose word. */
+/** The active daemons of a data centre, and the daemon that decided on them. */
 export interface ActiveDecision {
   readonly leader: string;
-  /** VMs that take callers, the most able first. */
+  /** VMs of the active daemons, highest capacity first. */
   readonly active: readonly string[];
-  /** Cores that the leader wants for them; undefined on the others. */
+  /** Cores that the leader wants for them; undefined on the other daemons. */
   readonly wantedCores: number | undefined;
 }
 
 /**
- * Decides which daemons of a data centre take callers; the others stand by. The
- * load pattern it answers: a fleet of hundreds of small VMs at a few requests a
- * second each. Where all of them decide, each knows the others' work only after
- * a second, so prompts pile up at the same engines, and telling it costs more
- * than serving. A few able daemons know each other's work within a tenth of it.
+ * Decides which daemons of a data centre are active, that is, accept callers; the others are on standby. It is meant
+ * for fleets of hundreds of small VMs with a few requests a second each. If all daemons placed requests there, each would
+ * know the others' work only after a second, so prompts would queue at the same engines, and exchanging that work would
+ * cost more than serving. A few daemons with high capacity know each other's work within a tenth of that time.
  *
- * The most able one that takes callers leads, and names as many as the load
- * needs. It hears those that stand by; they hear only those that are active,
- * so they follow its word. Views may differ for a moment: then more daemons than
- * needed take callers, which is safe.
+ * The active daemon with the highest capacity leads, and picks as many daemons as the load needs. It receives the
+ * heartbeats of the standby daemons; these receive only those of the active ones, so they follow its decision. Views
+ * may differ for a moment: then more daemons than needed are active, which is safe.
  */
 export class ActiveSet {
-  readonly #needs: { readonly cores: number; readonly until: number }[] = [];
+  /** Recent demands in decreasing order, each until it no longer counts. */
+  readonly #demands: { readonly cores: number; readonly until: number }[] = [];
 
   /**
    * @param own - this daemon, or undefined while it can't serve
-   * @param others - the other daemons of its data centre that live and serve, as far as they are heard here
+   * @param others - the other daemons of its data centre that are alive and serve, as far as they are received here
    * @param now - current instant in milliseconds
-   * @returns who takes callers; undefined if nobody is known to
+   * @returns the active daemons; undefined if none is known
    */
   decide(
     own: ActiveSetCandidate | undefined,
@@ -64,42 +63,42 @@
     now: number,
   ): ActiveDecision | undefined {
     const ranked = rankByCapacity(own === undefined ? others : [own, ...others]);
-    // One that hears nobody names itself alone, and must not take the callers from all others.
-    const leastNamed = Math.min(LEAST_ACTIVE, ranked.length);
+    // A daemon that receives no heartbeats picks only itself; if others followed it, it would get all callers.
+    const minPicked = Math.min(MIN_ACTIVE, ranked.length);
     const leader = ranked.find(
-      (candidate) => candidate.vm === own?.vm || (candidate.active && candidate.activeVms.length >= leastNamed),
+      (candidate) => candidate.vm === own?.vm || (candidate.active && candidate.activeVms.length >= minPicked),
     );
     if (leader === undefined) return undefined;
     if (leader.vm !== own?.vm) return { leader: leader.vm, active: leader.activeVms, wantedCores: undefined };
     const wantedCores = this.#wantedCores(ranked, now);
-    return { leader: leader.vm, active: firstWith(ranked, wantedCores), wantedCores };
+    return { leader: leader.vm, active: pickByCapacity(ranked, wantedCores), wantedCores };
   }
 
   #wantedCores(ranked: readonly ActiveSetCandidate[], now: number): number {
     const busy = ranked.reduce((sum, { busyCores }) => sum + busyCores, 0);
-    const cores = CAPACITY_PER_BUSY * busy;
-    while ((this.#needs[0]?.until ?? now) < now) this.#needs.shift();
-    while ((this.#needs.at(-1)?.cores ?? Number.POSITIVE_INFINITY) <= cores) this.#needs.pop();
-    this.#needs.push({ cores, until: now + NEED_KEPT_MS });
-    const all = ranked.reduce((sum, { capacity }) => sum + capacity, 0);
-    return Math.max(LEAST_CAPACITY_SHARE * all, this.#needs[0]?.cores ?? 0);
+    const cores = CAPACITY_PER_BUSY_CORE * busy;
+    while ((this.#demands[0]?.until ?? now) < now) this.#demands.shift();
+    while ((this.#demands.at(-1)?.cores ?? Number.POSITIVE_INFINITY) <= cores) this.#demands.pop();
+    this.#demands.push({ cores, until: now + DEMAND_WINDOW_MS });
+    const total = ranked.reduce((sum, { capacity }) => sum + capacity, 0);
+    return Math.max(MIN_CAPACITY_SHARE * total, this.#demands[0]?.cores ?? 0);
   }
 }
 
 /**
- * A few of those that take callers speak for them with the daemons that stand by, however many there are.
+ * Only a few of the active daemons communicate with the standby daemons, however many are active.
  *
- * @param vm - a daemon
- * @param names - VMs that take callers, the most able first
- * @returns whether it is one of the few
+ * @param vm - VM of a daemon
+ * @param activeVms - VMs of the active daemons, highest capacity first
+ * @returns whether the daemon is one of those few
  */
-export function isStandbyContact(vm: string, names: readonly string[]): boolean {
-  return names.slice(0, LEAST_ACTIVE).includes(vm);
+export function isStandbyContact(vm: string, activeVms: readonly string[]): boolean {
+  return activeVms.slice(0, MIN_ACTIVE).includes(vm);
 }
 
 /**
  * @param candidates - daemons
- * @returns the same, the most able first, and equally able ones in an order that is the same for everybody
+ * @returns the same, highest capacity first, and those with equal capacity in an order that is the same on all daemons
  */
 export function rankByCapacity<T extends { readonly vm: string; readonly capacity: number }>(
   candidates: readonly T[],
@@ -114,14 +113,14 @@
   );
 }
 
-function firstWith(ranked: readonly ActiveSetCandidate[], cores: number): string[] {
-  if (ranked.length <= ALL_ACTIVE_UP_TO) return ranked.map(({ vm }) => vm);
-  const chosen: string[] = [];
+function pickByCapacity(ranked: readonly ActiveSetCandidate[], cores: number): string[] {
+  if (ranked.length <= MAX_ALL_ACTIVE) return ranked.map(({ vm }) => vm);
+  const picked: string[] = [];
   let capacity = 0;
   for (const candidate of ranked) {
-    if (chosen.length >= LEAST_ACTIVE && capacity >= cores) break;
-    chosen.push(candidate.vm);
+    if (picked.length >= MIN_ACTIVE && capacity >= cores) break;
+    picked.push(candidate.vm);
     capacity += candidate.capacity;
   }
-  return chosen;
+  return picked;
 }
--- a/packages/serving/src/configuration.ts
+++ b/packages/serving/src/configuration.ts
@@ -1,12 +1,12 @@
-/** The operators' configuration as the daemons serve by it. */
+/** The operators' configuration, in the form that the daemons serve by. */
 
-/** What may be repeated when an answer is lost. */
+/** Whether a request may be retried when its answer is lost. */
 export enum RequestClass {
   /** May run more than once. */
   Idempotent = "idempotent",
   /** Runs at most once for each attempt of a caller. */
   NonIdempotent = "non-idempotent",
-  /** Answered by a series of events; runs at most once unless the route allows resuming. */
+  /** Answered by a stream of events; runs at most once unless the route allows resuming. */
   Stream = "stream",
 }
 
@@ -16,46 +16,46 @@
   readonly weight: number;
 }
 
-/** One route: which requests it takes and how they are treated. */
+/** A route: which requests it matches and how they are treated. */
 export interface Route {
   readonly name: string;
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly requestClass: RequestClass;
-  /** Whether a broken stream may go on at another endpoint. */
+  /** Whether a broken stream may be resumed at another endpoint. */
   readonly resumable: boolean;
-  /** Whether its requests carry a model's prompt parts. */
+  /** Whether its requests carry the parts of a model prompt. */
   readonly carriesPrompt: boolean;
-  /** Longest time a caller is kept waiting, in milliseconds. */
+  /** Maximum time that a caller waits for the answer, in milliseconds. */
   readonly timeoutMs: number;
-  /** Time within which an answer is in time, in milliseconds; for streams, to the first event. */
+  /** Latency objective of an answer, in milliseconds; for streams, of the first event. */
   readonly objectiveMs: number;
-  /** Longest pause between events that is in time, in milliseconds. */
+  /** Maximum time between events that meets the objective, in milliseconds. */
   readonly pauseMs: number;
-  /** Rank among the routes, 0 is the highest. */
+  /** Priority among the routes, 0 is the highest. */
   readonly priority: number;
-  /** Most endpoints that one attempt of a caller may be sent to. */
+  /** Maximum number of endpoints that one attempt of a caller may be sent to. */
   readonly attempts: number;
   readonly shares: readonly ServiceShare[];
 }
 
-/** What the engines of a model service can do. */
+/** Limits of the engines of a model service. */
 export interface EngineLimits {
   readonly slots: number;
   readonly memoryTokens: number;
-  /** Milliseconds that a handle of a read prompt is kept. */
+  /** Time for which the handle of a prefilled prompt is kept, in milliseconds. */
   readonly handleMs: number;
 }
 
-/** A service that routes lead to. */
+/** A service that requests are routed to. */
 export interface Service {
   readonly name: string;
   readonly maxConnections: number;
   readonly engine: EngineLimits | undefined;
 }
 
-/** What a caller may send, and how long it may take. */
+/** Size limits and timeouts for requests of callers. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -63,7 +63,7 @@
   readonly idleTimeoutMs: number;
 }
 
-/** A whole configuration. */
+/** A complete configuration. */
 export interface Configuration {
   readonly version: number;
   readonly routes: readonly Route[];
--- a/packages/serving/src/endpointDirectory.ts
+++ b/packages/serving/src/endpointDirectory.ts
@@ -1,12 +1,12 @@
-import * as lives from "./endpointIncarnations.js";
+import * as endpointIncarnations from "./endpointIncarnations.js";
 
-/** What is believed of the endpoints: which live, which are leaving. */
+/** Known endpoints of the fleet: which are alive, and which are leaving. */
 
-/** The part of a prompt's way that an engine takes. */
+/** Which phase of a prompt an engine runs. */
 export enum EngineRole {
-  /** Reads prompts for others to go on with. */
+  /** Runs the prefill of prompts, which other engines continue. */
   Prefill = "prefill",
-  /** Makes tokens, and can read prompts itself at a lower speed. */
+  /** Generates tokens, and can run the prefill itself at a lower speed. */
   Decode = "decode",
   /** Not a model engine. */
   None = "none",
@@ -14,7 +14,7 @@
 
 /** An endpoint as it registered itself. */
 export interface Endpoint {
-  /** Names the endpoint; one that starts again may keep it. */
+  /** Identifies the endpoint; it may be the same after a restart. */
   readonly id: string;
   readonly service: string;
   /** IP:PORT */
@@ -23,42 +23,42 @@
   readonly slots: number;
   readonly role: EngineRole;
   readonly leaving: boolean;
-  /** Start of this life of it, in Unix milliseconds; endpoints of the older form don't say it. */
+  /** Start of this incarnation, in Unix milliseconds; undefined if the entry has the older format without it. */
   readonly bornAt?: number | undefined;
 }
 
-/** Why a belief about an endpoint changed. */
+/** How the known state of an endpoint changed. */
 export enum EndpointChange {
   Joined = "joined",
   Changed = "changed",
   Leaving = "leaving",
   Gone = "gone",
   Returned = "returned",
-  /** It has started again under its id, and holds and knows nothing of before. */
+  /** The endpoint has restarted under its id, and has lost the state of its previous incarnation. */
   Restarted = "restarted",
-  /** Its entry is another writer's, and names no endpoint to use. */
+  /** The entry was written by something else, and does not describe a usable endpoint. */
   SetAside = "set-aside",
 }
 
-/** A change of a belief, with the store's revision that it rests on. */
+/** A change of the known state of an endpoint, with the store's revision that it is based on. */
 export interface EndpointUpdate {
   readonly change: EndpointChange;
   readonly id: string;
-  /** The endpoint as last believed in; undefined if nothing usable was ever said of it. */
+  /** The endpoint as last known; undefined if no usable entry was ever received. */
   readonly endpoint: Endpoint | undefined;
   readonly revision: number;
-  /** Whether the endpoint has started again: what was known of its former life doesn't hold. */
+  /** Whether the endpoint has restarted, so that what was known of its previous incarnation is obsolete. */
   readonly startedAgain?: boolean;
-  /** Start of the former life, in Unix milliseconds, if it had said one. */
+  /** Start of the previous incarnation, in Unix milliseconds, if its entry stated one. */
   readonly formerBornAt?: number | undefined;
-  /** Start of the life that is leaving; undefined where the entry is gone, whichever life wrote it. */
+  /** Start of the incarnation that is leaving; undefined if the entry is gone, whichever incarnation wrote it. */
   readonly leavingBornAt?: number | undefined;
 }
 
 /** An endpoint's entry in a listing. */
 export interface ListedEntry {
   readonly id: string;
-  /** What it says; undefined where it names no endpoint to use. */
+  /** The endpoint that the entry describes; undefined if the entry is unusable. */
   readonly endpoint: Endpoint | undefined;
   readonly revision: number;
 }
@@ -69,27 +69,27 @@
 }
 
 /**
- * Time after the key-value service's return within which entries that lapsed
- * meanwhile are written again by endpoints that live, in milliseconds (two
- * seconds, and a little for the way).
+ * Time after the key-value service's recovery within which live endpoints write
+ * entries again that expired during the outage, in milliseconds (two seconds,
+ * and a little for the transmission).
  */
 export const REREGISTRATION_GRACE_MS = 2_300;
 
 /**
- * Endpoints by the newest word of each, from the key-value service or a peer. An
- * older word never replaces a newer one, so that a peer that lags can't bring a
- * leaving endpoint back, nor a late write of a former life that life.
+ * Endpoints by the newest entry of each, from the key-value service or a peer. An
+ * older entry never replaces a newer one, so neither a lagging peer nor a late
+ * write of a previous incarnation can bring an endpoint back that has left.
  */
 export class EndpointDirectory {
   readonly #entries = new Map<string, Entry>();
   readonly #byService = new Map<string, Set<string>>();
-  readonly #lives = new lives.EndpointIncarnations();
-  /** Endpoints whose newest entry is another writer's. */
+  readonly #incarnations = new endpointIncarnations.EndpointIncarnations();
+  /** Endpoints whose newest entry is unusable. */
   readonly #setAside = new Set<string>();
   #revision = 0;
-  #lapsesBelievedAt = 0;
+  #reregistrationGraceUntil = 0;
 
-  /** @returns the newest revision of the key-value service that is known here */
+  /** @returns the newest known revision of the key-value service */
   get revision(): number {
     return this.#revision;
   }
@@ -97,42 +97,42 @@
   /**
    * @param endpoint - the endpoint as written
    * @param revision - revision of the write
-   * @returns what changed, if anything that matters did
+   * @returns what changed, if anything relevant did
    */
   put(endpoint: Endpoint, revision: number): EndpointUpdate | undefined {
     const { id, bornAt } = endpoint;
     this.#noteRevision(revision);
-    if (this.#lives.isOutdated(id, bornAt, revision)) return undefined;
+    if (this.#incarnations.isOutdated(id, bornAt, revision)) return undefined;
     const known = this.#entries.get(id);
-    const newLife = this.#lives.isNewLife(id, bornAt);
-    if (!newLife && known !== undefined && known.revision >= revision) return undefined;
-    const formerBornAt = this.#lives.bornAtOf(id);
-    // An endpoint that has said its start always says it: what comes without is another writer's.
+    const isNewer = this.#incarnations.isNewer(id, bornAt);
+    if (!isNewer && known !== undefined && known.revision >= revision) return undefined;
+    const formerBornAt = this.#incarnations.bornAtOf(id);
+    // An endpoint that has stated its start always states it: an entry without one was written by something else.
     if (bornAt === undefined && formerBornAt !== undefined) return this.setAside(id, revision);
-    const saysStartNow = bornAt !== undefined && formerBornAt === undefined && known !== undefined;
-    const change = this.#changeBy(endpoint, known?.endpoint, newLife || saysStartNow);
-    this.#enter(endpoint, revision, known?.endpoint);
+    const isFirstStart = bornAt !== undefined && formerBornAt === undefined && known !== undefined;
+    const change = this.#changeOf(endpoint, known?.endpoint, isNewer || isFirstStart);
+    this.#store(endpoint, revision, known?.endpoint);
     if (change === undefined) return undefined;
-    const again = newLife || saysStartNow ? { startedAgain: true, formerBornAt } : {};
-    return { change, id, endpoint, revision, ...again, leavingBornAt: bornAt };
+    const restart = isNewer || isFirstStart ? { startedAgain: true, formerBornAt } : {};
+    return { change, id, endpoint, revision, ...restart, leavingBornAt: bornAt };
   }
 
   /**
-   * An entry is there that names no endpoint to use: bytes that can't be read,
-   * fields that are missing or of another type. It is another writer's, and what
-   * stood there before is no longer said by anybody. Left in use, callers would
-   * be sent on a word that has been taken back. The next entry that can be used
-   * brings the endpoint back, so that a writer's slip costs little.
+   * Notes that the entry of an endpoint is unusable: bytes that can't be parsed,
+   * or fields that are missing or have another type. Something else has written
+   * it and has overwritten the entry before, which must not be used any more:
+   * callers would be sent to an endpoint that is no longer registered. The next
+   * usable entry brings the endpoint back, so a single faulty write does little harm.
    *
-   * @param id - the endpoint that the entry is of
+   * @param id - endpoint of the entry
    * @param revision - revision of the entry
-   * @returns what changed, if the entry before could be used
+   * @returns what changed, if the entry before was usable
    */
   setAside(id: string, revision: number): EndpointUpdate | undefined {
     this.#noteRevision(revision);
     const known = this.#entries.get(id);
-    if (this.#lives.isVoid(id, revision)) return undefined;
-    this.#lives.noteVoid(id, revision);
+    if (this.#incarnations.isVoid(id, revision)) return undefined;
+    this.#incarnations.noteVoid(id, revision);
     if (known !== undefined && known.revision >= revision) return undefined;
     if (known !== undefined) known.revision = revision;
     if (this.#setAside.has(id)) return undefined;
@@ -142,40 +142,41 @@
 
   /**
    * @param id - an endpoint that is gone, or is leaving
-   * @param revision - revision that said so
-   * @param bornAt - start of the life that is leaving, in Unix milliseconds; undefined where the entry is gone
+   * @param revision - revision that the removal is based on
+   * @param bornAt - start of the incarnation that is leaving, in Unix milliseconds; undefined if the entry is gone
    * @returns what changed, if the endpoint was known
    */
   remove(id: string, revision: number, bornAt?: number): EndpointUpdate | undefined {
     this.#noteRevision(revision);
     const known = this.#entries.get(id);
-    const newest = this.#lives.bornAtOf(id);
+    const newest = this.#incarnations.bornAtOf(id);
     if (bornAt !== undefined && newest !== undefined && bornAt < newest) return undefined;
-    if (bornAt === undefined) this.#lives.noteVoid(id, revision);
-    if (!this.#lives.isNewLife(id, bornAt) && known !== undefined && known.revision >= revision) return undefined;
-    this.#lives.noteLeaving(id, bornAt, revision);
+    if (bornAt === undefined) this.#incarnations.noteVoid(id, revision);
+    if (!this.#incarnations.isNewer(id, bornAt) && known !== undefined && known.revision >= revision) return undefined;
+    this.#incarnations.noteLeaving(id, bornAt, revision);
     if (bornAt === undefined) this.#setAside.delete(id);
     return known === undefined ? undefined : this.#drop(known, revision, bornAt);
   }
 
   /**
-   * Another endpoint has answered at its address: it is gone, whatever its entry says.
+   * Removes an endpoint at whose address another endpoint has answered, whatever its entry says.
    *
-   * @param endpoint - the endpoint as it was believed in when the request was sent
-   * @returns what changed, if that life of the endpoint is still believed in; a newer entry brings it back
+   * @param endpoint - the endpoint as it was known when the request was sent
+   * @returns what changed, if that incarnation is still the known one; a newer entry brings it back
    */
   markReplaced(endpoint: Endpoint): EndpointUpdate | undefined {
     const known = this.#entries.get(endpoint.id);
     if (known === undefined || !this.isSameIncarnation(endpoint)) return undefined;
-    this.#lives.noteLeaving(endpoint.id, endpoint.bornAt, known.revision);
+    this.#incarnations.noteLeaving(endpoint.id, endpoint.bornAt, known.revision);
     return this.#drop(known, known.revision, endpoint.bornAt);
   }
 
   /**
-   * An engine has declined its role: it has taken the other one, and its entry here is old.
+   * Switches the role of an engine that has declined a request for it: its role has changed, and its entry here is
+   * outdated.
    *
-   * @param endpoint - the engine as it was believed in when the request was sent
-   * @returns what changed, if that life of the engine is still believed in and has a role
+   * @param endpoint - the engine as it was known when the request was sent
+   * @returns what changed, if that incarnation is still the known one and has a role
    */
   markRoleDeclined(endpoint: Endpoint): EndpointUpdate | undefined {
     const known = this.#entries.get(endpoint.id);
@@ -188,7 +189,7 @@
 
   /**
    * @param id - the endpoint
-   * @returns revision of what is known of it, 0 if nothing is
+   * @returns revision of its known entry, 0 if there is none
    */
   revisionOf(id: string): number {
     return this.#entries.get(id)?.revision ?? 0;
@@ -196,71 +197,71 @@
 
   /**
    * @param id - the endpoint
-   * @returns the latest start that is known of it, in Unix milliseconds, if it has said one
+   * @returns start of its latest known incarnation, in Unix milliseconds, if it has stated one
    */
   bornAtOf(id: string): number | undefined {
-    return this.#lives.bornAtOf(id);
+    return this.#incarnations.bornAtOf(id);
   }
 
   /**
    * @param id - an endpoint
-   * @returns whether its newest entry names no endpoint to use
+   * @returns whether its newest entry is unusable
    */
   isSetAside(id: string): boolean {
     return this.#setAside.has(id);
   }
 
   /**
-   * @param endpoint - an endpoint as it was believed in before
-   * @returns whether it is, as far as is known, still in the same life
+   * @param endpoint - an endpoint as it was known before
+   * @returns whether it is, as far as is known, still the same incarnation
    */
   isSameIncarnation(endpoint: Endpoint): boolean {
-    if (this.#lives.bornAtOf(endpoint.id) !== endpoint.bornAt) return false;
+    if (this.#incarnations.bornAtOf(endpoint.id) !== endpoint.bornAt) return false;
     const known = this.#entries.get(endpoint.id);
     return known === undefined || known.endpoint.address === endpoint.address;
   }
 
   /**
-   * Takes a whole listing. Entries that are missing from it are gone, unless
-   * the service has only just returned: entries lapse while it is away, though
-   * the endpoints live and serve.
+   * Applies a complete listing. Entries that are missing from it are removed,
+   * unless the key-value service has only just recovered: entries expire during
+   * an outage, though the endpoints are alive and serve.
    *
-   * @param listing - all entries, those that name no endpoint to use included
-   * @param revision - the service's revision at the listing
+   * @param listing - all entries, including the unusable ones
+   * @param revision - revision of the key-value service at the listing
    * @param now - current time in milliseconds
    * @returns what changed
    */
   applyListing(listing: readonly ListedEntry[], revision: number, now: number): EndpointUpdate[] {
-    const changes = listing.map((item) =>
+    const updates = listing.map((item) =>
       item.endpoint === undefined ? this.setAside(item.id, item.revision) : this.put(item.endpoint, item.revision),
     );
     this.#noteRevision(revision);
-    const present = new Set(listing.map(({ id }) => id));
-    const missing = [...this.#entries.keys()].filter((id) => !present.has(id));
-    if (now >= this.#lapsesBelievedAt) changes.push(...missing.map((id) => this.remove(id, revision)));
-    return changes.filter((change) => change !== undefined);
+    const listed = new Set(listing.map(({ id }) => id));
+    const missing = [...this.#entries.keys()].filter((id) => !listed.has(id));
+    if (now >= this.#reregistrationGraceUntil) updates.push(...missing.map((id) => this.remove(id, revision)));
+    return updates.filter((update) => update !== undefined);
   }
 
   /**
-   * The key-value service answers again after an outage.
+   * Notes that the key-value service answers again after an outage.
    *
    * @param now - current time in milliseconds
    */
   noteStoreRecovered(now: number): void {
-    this.#lapsesBelievedAt = now + REREGISTRATION_GRACE_MS;
+    this.#reregistrationGraceUntil = now + REREGISTRATION_GRACE_MS;
   }
 
   /**
    * @param now - current time in milliseconds
-   * @returns whether removals may be lapses of an outage that has just ended
+   * @returns whether removed entries may have expired in an outage that has just ended
    */
   isReregistrationGraceActive(now: number): boolean {
-    return now < this.#lapsesBelievedAt;
+    return now < this.#reregistrationGraceUntil;
   }
 
   /**
    * @param id - an endpoint
-   * @returns whether new work may be sent to it
+   * @returns whether new requests may be sent to it
    */
   isAvailable(id: string): boolean {
     const entry = this.#entries.get(id);
@@ -269,44 +270,44 @@
 
   /**
    * @param service - the service
-   * @returns its endpoints that may get new work
+   * @returns its endpoints that new requests may be sent to
    */
   availableEndpoints(service: string): Endpoint[] {
-    const found: Endpoint[] = [];
+    const available: Endpoint[] = [];
     for (const id of this.#byService.get(service) ?? []) {
       const entry = this.#entries.get(id);
-      if (entry !== undefined && this.isAvailable(id)) found.push(entry.endpoint);
+      if (entry !== undefined && this.isAvailable(id)) available.push(entry.endpoint);
     }
-    return found;
+    return available;
   }
 
   #noteRevision(revision: number): void {
     this.#revision = Math.max(this.#revision, revision);
   }
 
-  #enter(endpoint: Endpoint, revision: number, before: Endpoint | undefined): void {
+  #store(endpoint: Endpoint, revision: number, before: Endpoint | undefined): void {
     const { id, service, bornAt, leaving } = endpoint;
-    this.#lives.noteLife(id, bornAt);
-    if (leaving) this.#lives.noteLeaving(id, bornAt, revision);
+    this.#incarnations.noteIncarnation(id, bornAt);
+    if (leaving) this.#incarnations.noteLeaving(id, bornAt, revision);
     this.#setAside.delete(id);
     this.#entries.set(id, { endpoint, revision });
-    // One that has started again for another service would get callers' requests of the former one.
+    // An endpoint that has restarted for another service must not get requests of the previous one.
     if (before !== undefined && before.service !== service) this.#byService.get(before.service)?.delete(id);
-    this.#ofService(service).add(id);
+    this.#idsOfService(service).add(id);
   }
 
-  #changeBy(endpoint: Endpoint, before: Endpoint | undefined, startedAgain: boolean): EndpointChange | undefined {
-    const wasAside = this.#setAside.has(endpoint.id);
+  #changeOf(endpoint: Endpoint, before: Endpoint | undefined, startedAgain: boolean): EndpointChange | undefined {
+    const wasSetAside = this.#setAside.has(endpoint.id);
     if (endpoint.leaving) {
-      const saidBefore = before?.leaving === true && !startedAgain && !wasAside;
-      return saidBefore ? undefined : EndpointChange.Leaving;
+      const wasLeaving = before?.leaving === true && !startedAgain && !wasSetAside;
+      return wasLeaving ? undefined : EndpointChange.Leaving;
     }
     if (startedAgain) return EndpointChange.Restarted;
-    if (wasAside) return EndpointChange.Returned;
+    if (wasSetAside) return EndpointChange.Returned;
     if (before === undefined) {
-      return this.#lives.hasDeparted(endpoint.id) ? EndpointChange.Returned : EndpointChange.Joined;
+      return this.#incarnations.hasDeparted(endpoint.id) ? EndpointChange.Returned : EndpointChange.Joined;
     }
-    return isSame(before, endpoint) ? undefined : EndpointChange.Changed;
+    return isEqual(before, endpoint) ? undefined : EndpointChange.Changed;
   }
 
   #drop(known: Entry, revision: number, leavingBornAt: number | undefined): EndpointUpdate {
@@ -316,14 +317,14 @@
     return { change: EndpointChange.Gone, id: endpoint.id, endpoint, revision, leavingBornAt };
   }
 
-  #ofService(service: string): Set<string> {
+  #idsOfService(service: string): Set<string> {
     const ids = this.#byService.get(service) ?? new Set<string>();
     this.#byService.set(service, ids);
     return ids;
   }
 }
 
-function isSame(left: Endpoint, right: Endpoint): boolean {
+function isEqual(left: Endpoint, right: Endpoint): boolean {
   return (
     left.service === right.service &&
     left.address === right.address &&
--- a/packages/serving/src/endpointHealth.ts
+++ b/packages/serving/src/endpointHealth.ts
@@ -1,56 +1,56 @@
 import type * as directories from "./endpointDirectory.js";
 
-/** Health of endpoints as their results show it. */
+/** Health of endpoints, judged by the results of requests that were sent to them. */
 
-/** How one send to an endpoint ended, as far as its health goes. */
+/** How one send to an endpoint ended, as far as its health is concerned. */
 export enum SendResult {
   Good = "good",
-  /** It refused without running the request: full, or not the one expected. */
+  /** The endpoint declined without running the request: it is full, or not the expected endpoint. */
   Declined = "declined",
-  /** An error of its own, spoilt bytes, or a broken connection. */
+  /** The endpoint returned an error of its own or invalid bytes, or its connection broke. */
   Failed = "failed",
-  /** No answer within the time that others take. */
+  /** No answer within the time that other endpoints take. */
   Silent = "silent",
 }
 
-/** Weight with which the newest result enters the mean. */
-const NEWEST_WEIGHT = 0.25;
+/** Weight of the newest result in the moving average of the failure score. */
+const RESULT_WEIGHT = 0.25;
 
-/** Mean badness from which an endpoint counts as bad. */
-const BAD_FROM = 0.45;
+/** Failure score from which an endpoint is unhealthy. */
+const UNHEALTHY_SCORE = 0.45;
 
-/** Time after which a bad endpoint gets one request to show itself, in milliseconds. */
-const TRIAL_AFTER_MS = 700;
+/** Time after which an unhealthy endpoint gets one request as a probe, in milliseconds. */
+const FIRST_PROBE_DELAY_MS = 700;
 
-/** Longest time between two trials of an endpoint that stays bad, in milliseconds. */
-const LONGEST_TRIAL_MS = 3_000;
+/** Longest time between two probes of an endpoint that stays unhealthy, in milliseconds. */
+const MAX_PROBE_DELAY_MS = 3_000;
 
-/** Badness of each result. */
-const BADNESS: Record<SendResult, number> = {
+/** Failure score of each result. */
+const RESULT_SCORES: Record<SendResult, number> = {
   [SendResult.Good]: 0,
-  // Five in a row make it bad: it is full, or on the way to another role.
+  // Five in a row make the endpoint unhealthy: it is full, or is changing its role.
   [SendResult.Declined]: 0.6,
   [SendResult.Failed]: 1,
   [SendResult.Silent]: 2,
 };
 
 interface State {
-  badness: number;
-  trialAt: number;
-  trialGapMs: number;
+  failureScore: number;
+  probeAt: number;
+  probeDelayMs: number;
   slowness: number;
 }
 
-/** Bounds of the learned slowness. */
-const SLOWNESS_RANGE = { least: 0.5, most: 8 };
+/** Bounds of the measured slowness. */
+const SLOWNESS_BOUNDS = { min: 0.5, max: 8 };
 
-/** Weight with which the newest time enters the learned slowness. */
-const NEWEST_TIME_WEIGHT = 0.1;
+/** Weight of the newest latency in the moving average of the slowness. */
+const LATENCY_WEIGHT = 0.1;
 
 /**
- * Judges endpoints by results, as health answers may be false either way. A bad
- * endpoint is passed over, and is tried with one request from time to time, so
- * that it comes back by itself; {@link selectUsable} never leaves out all.
+ * Judges endpoints by the results of requests, as the answers of health checks may be wrong either way. An unhealthy
+ * endpoint gets no requests except for an occasional probe, so that it recovers without intervention;
+ * {@link selectUsable} never excludes all endpoints.
  */
 export class EndpointHealth {
   readonly #states = new Map<string, State>();
@@ -59,30 +59,31 @@
    * @param endpointId - the endpoint
    * @param result - how a send ended
    * @param now - current instant in milliseconds
-   * @returns whether the endpoint counts as bad from now on though it did not before, or the reverse
+   * @returns whether the endpoint has become unhealthy, or healthy again
    */
   recordResult(endpointId: string, result: SendResult, now: number): boolean {
     const state = this.#state(endpointId);
-    const before = state.badness >= BAD_FROM;
-    state.badness = state.badness * (1 - NEWEST_WEIGHT) + BADNESS[result] * NEWEST_WEIGHT;
-    const after = state.badness >= BAD_FROM;
-    if (result === SendResult.Good && before) state.badness = Math.min(state.badness, BAD_FROM / 2);
-    if (after && result !== SendResult.Good) {
-      state.trialGapMs = before ? Math.min(LONGEST_TRIAL_MS, state.trialGapMs * 2) : TRIAL_AFTER_MS;
-      state.trialAt = now + state.trialGapMs;
+    const wasUnhealthy = state.failureScore >= UNHEALTHY_SCORE;
+    state.failureScore = state.failureScore * (1 - RESULT_WEIGHT) + RESULT_SCORES[result] * RESULT_WEIGHT;
+    const isUnhealthy = state.failureScore >= UNHEALTHY_SCORE;
+    if (result === SendResult.Good && wasUnhealthy)
+      state.failureScore = Math.min(state.failureScore, UNHEALTHY_SCORE / 2);
+    if (isUnhealthy && result !== SendResult.Good) {
+      state.probeDelayMs = wasUnhealthy ? Math.min(MAX_PROBE_DELAY_MS, state.probeDelayMs * 2) : FIRST_PROBE_DELAY_MS;
+      state.probeAt = now + state.probeDelayMs;
     }
-    return before !== state.badness >= BAD_FROM;
+    return wasUnhealthy !== state.failureScore >= UNHEALTHY_SCORE;
   }
 
   /**
    * @param endpointId - the endpoint
-   * @param predictedMs - time to the first event as predicted for a sound endpoint
-   * @param actualMs - the time it took
+   * @param predictedMs - time to the first event that is predicted for a healthy endpoint
+   * @param actualMs - time that it took
    */
   recordLatency(endpointId: string, predictedMs: number, actualMs: number): void {
     const state = this.#state(endpointId);
-    const ratio = clamp(actualMs / Math.max(1, predictedMs));
-    state.slowness = clamp(state.slowness * (1 - NEWEST_TIME_WEIGHT) + ratio * NEWEST_TIME_WEIGHT);
+    const ratio = clampSlowness(actualMs / Math.max(1, predictedMs));
+    state.slowness = clampSlowness(state.slowness * (1 - LATENCY_WEIGHT) + ratio * LATENCY_WEIGHT);
   }
 
   /**
@@ -95,49 +96,49 @@
 
   /**
    * @param endpointId - the endpoint
-   * @returns whether its results are bad now
+   * @returns whether its recent results are bad
    */
   isUnhealthy(endpointId: string): boolean {
-    return (this.#states.get(endpointId)?.badness ?? 0) >= BAD_FROM;
+    return (this.#states.get(endpointId)?.failureScore ?? 0) >= UNHEALTHY_SCORE;
   }
 
   /**
-   * Chooses within each role by itself: a fleet whose only good engines read
-   * prompts could make no tokens.
+   * Selects within each role separately: with only prefill engines selected, no
+   * tokens could be generated.
    *
    * @param endpoints - endpoints that may be used
-   * @param trials - whether the request may be repeated, so that a bad endpoint may be tried with it
+   * @param mayProbe - whether the request may be retried, so that it may be sent to an unhealthy endpoint as a probe
    * @param now - current instant in milliseconds
-   * @returns those to choose from: the good ones of each role, one that is due for a trial, or all if none is good
+   * @returns those to choose from for each role: one that is due for a probe, else the healthy ones, or all if none is
    */
-  selectUsable(endpoints: readonly directories.Endpoint[], trials: boolean, now: number): directories.Endpoint[] {
+  selectUsable(endpoints: readonly directories.Endpoint[], mayProbe: boolean, now: number): directories.Endpoint[] {
     const roles = new Set(endpoints.map((endpoint) => endpoint.role));
     return [...roles].flatMap((role) =>
-      this.#usableOfRole(
+      this.#selectUsableOfRole(
         endpoints.filter((endpoint) => endpoint.role === role),
-        trials,
+        mayProbe,
         now,
       ),
     );
   }
 
-  #usableOfRole(
+  #selectUsableOfRole(
     endpoints: readonly directories.Endpoint[],
-    trials: boolean,
+    mayProbe: boolean,
     now: number,
   ): readonly directories.Endpoint[] {
-    const good = endpoints.filter((endpoint) => !this.isUnhealthy(endpoint.id));
-    const due = trials ? endpoints.find((endpoint) => this.#isDue(endpoint.id, now)) : undefined;
+    const healthy = endpoints.filter((endpoint) => !this.isUnhealthy(endpoint.id));
+    const due = mayProbe ? endpoints.find((endpoint) => this.#isProbeDue(endpoint.id, now)) : undefined;
     if (due !== undefined) {
       const state = this.#state(due.id);
-      state.trialAt = now + state.trialGapMs;
+      state.probeAt = now + state.probeDelayMs;
       return [due];
     }
-    return good.length > 0 ? good : endpoints;
+    return healthy.length > 0 ? healthy : endpoints;
   }
 
-  #isDue(endpointId: string, now: number): boolean {
-    return this.isUnhealthy(endpointId) && this.#state(endpointId).trialAt <= now;
+  #isProbeDue(endpointId: string, now: number): boolean {
+    return this.isUnhealthy(endpointId) && this.#state(endpointId).probeAt <= now;
   }
 
   /** @param endpointId - an endpoint that is gone */
@@ -148,13 +149,13 @@
   #state(endpointId: string): State {
     let state = this.#states.get(endpointId);
     if (state === undefined) {
-      state = { badness: 0, trialAt: 0, trialGapMs: TRIAL_AFTER_MS, slowness: 1 };
+      state = { failureScore: 0, probeAt: 0, probeDelayMs: FIRST_PROBE_DELAY_MS, slowness: 1 };
       this.#states.set(endpointId, state);
     }
     return state;
   }
 }
 
-function clamp(value: number): number {
-  return Math.max(SLOWNESS_RANGE.least, Math.min(SLOWNESS_RANGE.most, value));
+function clampSlowness(value: number): number {
+  return Math.max(SLOWNESS_BOUNDS.min, Math.min(SLOWNESS_BOUNDS.max, value));
 }
--- a/packages/serving/src/endpointIncarnations.ts
+++ b/packages/serving/src/endpointIncarnations.ts
@@ -1,4 +1,4 @@
-/** The life of an endpoint that its own word names last, and what no longer counts of what is said under its id. */
+/** Latest known incarnation of each endpoint, and which entries under its id no longer count. */
 
 interface Leaving {
   readonly bornAt: number;
@@ -6,22 +6,23 @@
 }
 
 /**
- * Tells words of a former life from those of the present one. An endpoint that
- * starts again under its id writes a new entry, but a late write of its former
- * life has a higher revision still. By revisions alone callers would be sent to
- * where nobody is, or kept from an endpoint that has just come. The start that
- * the endpoint says of itself orders its lives; revisions order the words of one
- * life, and those of endpoints that say nothing of their start.
+ * Distinguishes entries of a previous incarnation from those of the present one.
+ * An incarnation is one run of an endpoint under its id. An endpoint that
+ * restarts writes a new entry, but a late write of its previous incarnation may
+ * have an even higher revision. Going by revisions alone, callers would be sent
+ * to an address where nothing runs, or a new endpoint would get no requests.
+ * Incarnations are ordered by the start that the endpoint states; revisions
+ * order the entries of one incarnation, and those of endpoints that state no start.
  */
 export class EndpointIncarnations {
   readonly #newest = new Map<string, number>();
-  /** Revisions up to which no entry of an id counts: it was removed, or another writer wrote over it. */
+  /** Revisions up to which no entry of an id counts: it was removed, or overwritten by something else. */
   readonly #voidUpTo = new Map<string, number>();
   readonly #leavings = new Map<string, Leaving>();
 
   /**
    * @param id - the endpoint
-   * @returns the latest start that is known of it, in Unix milliseconds, if it has said one
+   * @returns start of its latest known incarnation, in Unix milliseconds, if it has stated one
    */
   bornAtOf(id: string): number | undefined {
     return this.#newest.get(id);
@@ -29,7 +30,7 @@
 
   /**
    * @param id - the endpoint
-   * @returns whether anything was said against it before
+   * @returns whether it was known as leaving, removed or overwritten before
    */
   hasDeparted(id: string): boolean {
     return this.#voidUpTo.has(id) || this.#leavings.has(id);
@@ -37,19 +38,19 @@
 
   /**
    * @param id - the endpoint
-   * @param bornAt - start that an entry says, if it does
-   * @returns whether the entry is of a later life than all that were known
+   * @param bornAt - start that an entry states, if any
+   * @returns whether the entry is of a later incarnation than all known ones
    */
-  isNewLife(id: string, bornAt: number | undefined): boolean {
+  isNewer(id: string, bornAt: number | undefined): boolean {
     const newest = this.#newest.get(id);
     return bornAt !== undefined && newest !== undefined && bornAt > newest;
   }
 
   /**
    * @param id - the endpoint
-   * @param bornAt - start that an entry says, if it does
+   * @param bornAt - start that an entry states, if any
    * @param revision - revision of the entry
-   * @returns whether what is known since makes the entry void
+   * @returns whether what is known makes the entry obsolete
    */
   isOutdated(id: string, bornAt: number | undefined, revision: number): boolean {
     if (this.isVoid(id, revision)) return true;
@@ -62,7 +63,7 @@
   /**
    * @param id - the endpoint
    * @param revision - revision of an entry
-   * @returns whether the entry was removed or written over since, whichever life wrote it
+   * @returns whether the entry has been removed or overwritten since, whichever incarnation wrote it
    */
   isVoid(id: string, revision: number): boolean {
     return revision <= (this.#voidUpTo.get(id) ?? 0);
@@ -70,9 +71,9 @@
 
   /**
    * @param id - the endpoint
-   * @param bornAt - start that it says, if it does
+   * @param bornAt - start that it states, if any
    */
-  noteLife(id: string, bornAt: number | undefined): void {
+  noteIncarnation(id: string, bornAt: number | undefined): void {
     const newest = this.#newest.get(id);
     if (bornAt === undefined || (newest !== undefined && newest >= bornAt)) return;
     this.#newest.set(id, bornAt);
@@ -89,15 +90,15 @@
 
   /**
    * @param id - an endpoint that is leaving
-   * @param bornAt - start of the life that is leaving, if it is known
-   * @param revision - revision that said so
+   * @param bornAt - start of the incarnation that is leaving, if it is known
+   * @param revision - revision that the leaving is based on
    */
   noteLeaving(id: string, bornAt: number | undefined, revision: number): void {
     if (bornAt === undefined) {
       this.noteVoid(id, revision);
       return;
     }
-    this.noteLife(id, bornAt);
+    this.noteIncarnation(id, bornAt);
     if (this.#newest.get(id) !== bornAt) return;
     this.#leavings.set(id, { bornAt, revision: Math.max(revision, this.#leavings.get(id)?.revision ?? 0) });
   }
--- a/packages/serving/src/gracefulShutdown.ts
+++ b/packages/serving/src/gracefulShutdown.ts
@@ -1,190 +1,197 @@
-/** What a daemon that stops as planned still takes, and when it ends. */
+/** Graceful shutdown of a daemon: which requests it still accepts, and when it exits. */
 
 /**
- * Time before the forced end at which the last answers leave, in milliseconds. A late event loop hears the signal, looks
- * at its end and sends the last answers a turn later each.
+ * Time before the process is killed at which the final answers are sent, in milliseconds. With a delayed event loop,
+ * receiving the signal, checking for the exit and sending the final answers each take one more iteration.
  */
-const MARGIN_MS = 800;
+const EXIT_MARGIN_MS = 800;
 
 /**
- * Time between the deadline of a request that is accepted and the last answers, in milliseconds: a late event loop still
- * ends the request by its deadline first.
+ * Time between the deadline of an accepted request and the final answers, in milliseconds: even with a delayed event
+ * loop, the request ends by its own deadline first.
  */
-const DEADLINE_SPARE_MS = 300;
+const DEADLINE_MARGIN_MS = 300;
 
-/** Time before the last answers from which no connection is accepted, in milliseconds; a plain call ends within it. */
-const LAST_MS = 1_000;
+/** Time before the final answers from which no connection is accepted, in milliseconds; a plain call ends within it. */
+const LISTENER_CLOSED_MS = 1_000;
 
-/** Time for which it stays for callers that hold an older answer with addresses, in milliseconds. */
+/** Time for which the daemon keeps serving callers that hold an outdated address list, in milliseconds. */
 const LINGER_MS = 3_000;
 
-/** Time without a request after which it ends, in milliseconds. */
-const QUIET_MS = 700;
+/** Time without a request after which the daemon exits, in milliseconds. */
+const IDLE_MS = 700;
 
-/** Time between two looks from which the process was paused between them, in milliseconds: several looks are missing. */
+/** Time between two checks that counts as a pause of the process, in milliseconds: several checks are missing. */
 const PAUSE_MS = 150;
 
-/** Looks by which a loop that is late at each is told from a single pause. */
-const USUAL_GAPS = 4;
+/** Number of gaps between checks that are kept, to distinguish a loop that is always delayed from a single pause. */
+const GAP_SAMPLES = 4;
 
 /**
- * Time for answers after a pause, in milliseconds: those that came meanwhile take a turn of the event loop, those of
- * plain calls that an endpoint was about to finish a little longer.
+ * Time to wait for answers after a pause, in milliseconds: answers that arrived meanwhile take one iteration of the
+ * event loop, plain calls that an endpoint was about to finish take slightly longer.
  */
 const CATCH_UP_MS = 250;
 
 /**
  * Time after the regular end up to which such answers are waited for, in milliseconds: the rest of the margin is for
- * the last answers to leave.
+ * sending the final answers.
  */
-const LATEST_MS = 350;
+const MAX_CATCH_UP_MS = 350;
 
-/** What a stopping daemon has open. */
-export interface StopProgress {
+/** What a daemon that shuts down has open. */
+export interface ShutdownProgress {
   /** Requests without a final answer. */
-  readonly open: number;
+  readonly openRequests: number;
   /** Instant of the last request, in milliseconds. */
   readonly lastRequestAt: number;
 }
 
-/** The side of a daemon that faces callers, as a planned stop drives it. */
+/** The caller-facing listener of a daemon, as the graceful shutdown drives it. */
 export interface StoppableListener {
   /** Requests without a final answer. */
   readonly openRequests: number;
   /** Instant of the last request, in milliseconds. */
   readonly lastRequestAt: number;
-  /** Whether no connection is accepted any more. */
+  /** Whether new connections are no longer accepted. */
   readonly hasStoppedAccepting: boolean;
-  /** Accepts no connection from now on. */
+  /** Stops accepting new connections. */
   stopAccepting(): void;
-  /** Gives what has not left for an endpoint its final answer. */
+  /** Sends the final answer to each request that has not been sent to an endpoint. */
   endUnsentRequests(): void;
-  /** Gives each request whose answer has not begun its final answer. */
+  /** Sends the final answer to each request whose response has not started. */
   endUnstartedResponses(): void;
 }
 
 /** When a daemon was told to stop. */
-export interface StopSignal {
-  /** Earliest instant at which the signal may have come, in milliseconds: earlier if the process stood still then. */
+export interface ShutdownSignal {
+  /** Earliest instant at which the signal may have been sent, in milliseconds: before a pause of the process, if any. */
   readonly earliestAt: number;
-  /** Instant at which it was heard, in milliseconds. */
+  /** Instant at which the signal was received, in milliseconds. */
   readonly heardAt: number;
-  /** Time from the signal until the process is ended by force, in milliseconds. */
+  /** Time from the signal until the process is killed, in milliseconds. */
   readonly graceMs: number;
 }
 
 /**
- * Four phases, each entered once: accepting what is over by its own deadline before the last answers leave; accepting
- * no connection; sending nothing more to endpoints, and giving what has no answer its final one; ended. Nothing accepted
- * after the signal is open when the last phase begins, as its deadline has ended it; what is rejected is served
- * by another daemon. What was accepted before the signal, and the last answers, go by the earliest instant at which the
- * signal may have come; streams that have begun go on by the latest, as they gain nothing from an earlier end.
+ * Runs a graceful shutdown in four phases, each entered once:
+ *
+ * 1. Accept only requests whose own deadline is before the final answers.
+ * 2. Accept no new connections.
+ * 3. Send nothing more to endpoints, and send the final answer to each request that has none.
+ * 4. Exit.
+ *
+ * No request that was accepted after the signal is open when the last phase begins, as its deadline has ended it;
+ * rejected requests are served by another daemon. Requests accepted before the signal, and the final answers, go by the
+ * earliest instant at which the signal may have been sent. Streams that have started go by the latest, as they gain
+ * nothing from an earlier end.
  */
 export class GracefulShutdown {
-  readonly #beganAt: number;
-  readonly #answersBy: number;
-  readonly #endsAt: number;
-  #lookedAt: number;
-  /** Times between the last looks, in milliseconds. */
+  readonly #startedAt: number;
+  readonly #finalAnswersAt: number;
+  readonly #exitAt: number;
+  #checkedAt: number;
+  /** Times between the last checks, in milliseconds. */
   readonly #gapsMs: number[] = [0];
   #resumedAt = -Infinity;
 
   /** @param signal - when the daemon was told to stop, and how much time it has */
-  constructor(signal: StopSignal) {
-    this.#beganAt = signal.earliestAt;
-    this.#answersBy = signal.earliestAt + signal.graceMs - MARGIN_MS;
-    this.#endsAt = signal.heardAt + signal.graceMs - MARGIN_MS;
-    this.#lookedAt = signal.earliestAt;
+  constructor(signal: ShutdownSignal) {
+    this.#startedAt = signal.earliestAt;
+    this.#finalAnswersAt = signal.earliestAt + signal.graceMs - EXIT_MARGIN_MS;
+    this.#exitAt = signal.heardAt + signal.graceMs - EXIT_MARGIN_MS;
+    this.#checkedAt = signal.earliestAt;
   }
 
   /**
-   * The daemon looks at its stop, as it does several times a second. A look that comes late shows a pause of the process,
-   * after which timers run before pending socket reads: an answer may lie in a socket, unread.
+   * Records that the daemon checks its shutdown, as it does several times a second. A delayed check shows that the
+   * process was paused. After a pause, timers run before pending socket reads, so an answer may be unread in a socket.
    *
    * @param now - current instant in milliseconds
    */
-  look(now: number): void {
-    const gapMs = now - this.#lookedAt;
+  recordCheck(now: number): void {
+    const gapMs = now - this.#checkedAt;
     if (gapMs > PAUSE_MS) this.#resumedAt = now;
     this.#gapsMs.push(gapMs);
-    if (this.#gapsMs.length > USUAL_GAPS) this.#gapsMs.shift();
-    this.#lookedAt = now;
+    if (this.#gapsMs.length > GAP_SAMPLES) this.#gapsMs.shift();
+    this.#checkedAt = now;
   }
 
   /**
-   * One step of the stop, to be taken several times a second. A daemon that may end does so one step after it has closed
-   * its door: between two steps the sockets have their turn, and what lay unread in a connection is open then.
+   * Runs one step of the shutdown; call it several times a second. The daemon exits one step after it has stopped
+   * accepting connections: pending socket reads run between two steps, so a request that was unread counts as open.
    *
-   * @param listener - the side that faces callers
+   * @param listener - the caller-facing listener
    * @param now - current instant in milliseconds
-   * @returns whether the daemon ends now
+   * @returns whether the daemon exits now
    */
   step(listener: StoppableListener, now: number): boolean {
-    this.look(now);
-    const mayEnd = listener.hasStoppedAccepting;
-    if (this.endsUnsent(now)) listener.endUnsentRequests();
-    if (this.endsUnbegun(now)) listener.endUnstartedResponses();
-    const { openRequests: open, lastRequestAt } = listener;
-    const isOver = this.isOver({ open, lastRequestAt }, now);
-    if (isOver && mayEnd) return true;
-    if (isOver || this.closesDoor(now)) listener.stopAccepting();
+    this.recordCheck(now);
+    const mayExit = listener.hasStoppedAccepting;
+    if (this.shouldEndUnsent(now)) listener.endUnsentRequests();
+    if (this.shouldEndUnstarted(now)) listener.endUnstartedResponses();
+    const { openRequests, lastRequestAt } = listener;
+    const isComplete = this.isComplete({ openRequests, lastRequestAt }, now);
+    if (isComplete && mayExit) return true;
+    if (isComplete || this.shouldStopAccepting(now)) listener.stopAccepting();
     return false;
   }
 
   /**
-   * @param answerBy - instant by which the request is over by its own deadline, in milliseconds
-   * @returns whether a request that comes after the signal is accepted; otherwise it is rejected at once
+   * @param deadline - instant by which the request ends by its own deadline, in milliseconds
+   * @returns whether a request that arrives after the signal is accepted; otherwise it is rejected at once
    */
-  accepts(answerBy: number): boolean {
-    return answerBy + DEADLINE_SPARE_MS <= this.#answersBy;
+  accepts(deadline: number): boolean {
+    return deadline + DEADLINE_MARGIN_MS <= this.#finalAnswersAt;
   }
 
   /**
    * @param now - current instant in milliseconds
-   * @returns whether no connection is accepted any more
+   * @returns whether new connections are no longer accepted
    */
-  closesDoor(now: number): boolean {
-    return now >= this.#answersBy - LAST_MS;
+  shouldStopAccepting(now: number): boolean {
+    return now >= this.#finalAnswersAt - LISTENER_CLOSED_MS;
   }
 
   /**
    * @param now - current instant in milliseconds
-   * @returns whether requests that have not left for an endpoint get their final answer now
+   * @returns whether requests that have not been sent to an endpoint get their final answer now
    */
-  endsUnsent(now: number): boolean {
-    return now >= this.#answersBy;
+  shouldEndUnsent(now: number): boolean {
+    return now >= this.#finalAnswersAt;
   }
 
   /**
    * @param now - current instant in milliseconds
-   * @returns whether requests whose answer has not begun get a final one now
+   * @returns whether requests whose response has not started get their final answer now
    */
-  endsUnbegun(now: number): boolean {
-    return now >= this.#answersBy && !this.#catchesUp(this.#answersBy, now);
+  shouldEndUnstarted(now: number): boolean {
+    return now >= this.#finalAnswersAt && !this.#isCatchingUp(this.#finalAnswersAt, now);
   }
 
   /**
    * @param progress - what is open
    * @param now - current instant in milliseconds
-   * @returns whether the daemon ends now
+   * @returns whether the daemon exits now
    */
-  isOver(progress: StopProgress, now: number): boolean {
-    if (now >= this.#endsAt && !(progress.open > 0 && this.#catchesUp(this.#endsAt, now))) return true;
-    if (progress.open > 0) return false;
-    if (this.closesDoor(now)) return true;
-    return now - this.#beganAt > LINGER_MS && now - progress.lastRequestAt > QUIET_MS;
+  isComplete(progress: ShutdownProgress, now: number): boolean {
+    if (now >= this.#exitAt && !(progress.openRequests > 0 && this.#isCatchingUp(this.#exitAt, now))) return true;
+    if (progress.openRequests > 0) return false;
+    if (this.shouldStopAccepting(now)) return true;
+    return now - this.#startedAt > LINGER_MS && now - progress.lastRequestAt > IDLE_MS;
   }
 
   /**
-   * At least until the next look, so that the sockets have had their turn; longer while the margin lasts. A loop that is
-   * late at each look may have no further one before the forced end. A process that is still alive after its forced end
-   * was not the only one to pause, and takes the time that it needs.
+   * Whether to wait for answers that arrived during a pause: at least until the next check, so that pending socket reads
+   * have run; longer while the margin lasts. A loop that is delayed at every check may not get another one before the
+   * process is killed. A process that is still alive after that instant was paused together with whatever kills it, and
+   * takes the time it needs.
    */
-  #catchesUp(regularEnd: number, now: number): boolean {
-    const pastForcedEnd = this.#resumedAt >= regularEnd + MARGIN_MS;
-    const latest = pastForcedEnd ? Infinity : regularEnd + LATEST_MS;
-    const usualGapMs = Math.min(...this.#gapsMs);
-    if (now === this.#resumedAt) return usualGapMs <= PAUSE_MS || now + usualGapMs < latest;
+  #isCatchingUp(regularEnd: number, now: number): boolean {
+    const isPastKill = this.#resumedAt >= regularEnd + EXIT_MARGIN_MS;
+    const latest = isPastKill ? Infinity : regularEnd + MAX_CATCH_UP_MS;
+    const shortestGapMs = Math.min(...this.#gapsMs);
+    if (now === this.#resumedAt) return shortestGapMs <= PAUSE_MS || now + shortestGapMs < latest;
     return now < Math.min(this.#resumedAt + CATCH_UP_MS, latest);
   }
 }
--- a/packages/serving/src/heartbeatInterval.ts
+++ b/packages/serving/src/heartbeatInterval.ts
@@ -1,16 +1,19 @@
 /**
- * Shortest and longest interval between two pulses, in milliseconds, and the time
- * by which each daemon that hears them often lengthens it. From so many daemons on
- * it grows faster than their number, so that the datagrams of a large fleet cost
- * each daemon less.
+ * Bounds of the interval between two heartbeats, and the time by which each
+ * frequent recipient lengthens it, in milliseconds. Above the number of
+ * recipients given as superlinearFrom the interval grows faster than that number,
+ * so that the datagrams of a large fleet cost each daemon less.
  */
-const PULSE_MS = { shortest: 40, longest: 1_000, perDaemon: 6, steeperFrom: 30 };
+const HEARTBEAT_INTERVAL = { min: 40, max: 1_000, perRecipient: 6, superlinearFrom: 30 };
 
 /**
- * @param peers - the other daemons
- * @returns time between two pulses, in milliseconds
+ * @param recipients - number of other daemons that receive each heartbeat
+ * @returns time between two heartbeats, in milliseconds
  */
-export function heartbeatIntervalMs(peers: number): number {
-  const steeper = Math.max(1, peers / PULSE_MS.steeperFrom);
-  return Math.min(PULSE_MS.longest, Math.max(PULSE_MS.shortest, PULSE_MS.perDaemon * peers * steeper));
+export function heartbeatIntervalMs(recipients: number): number {
+  const factor = Math.max(1, recipients / HEARTBEAT_INTERVAL.superlinearFrom);
+  return Math.min(
+    HEARTBEAT_INTERVAL.max,
+    Math.max(HEARTBEAT_INTERVAL.min, HEARTBEAT_INTERVAL.perRecipient * recipients * factor),
+  );
 }
--- a/packages/serving/src/index.ts
+++ b/packages/serving/src/index.ts
@@ -1,4 +1,4 @@
-/** Decisions of serving, without input or output: routes, endpoints, placement, repeats. */
+/** Decisions of request serving, without input or output: routes, endpoints, placement, retries. */
 export * from "./activeSet.js";
 export * from "./admission.js";
 export * from "./configuration.js";
--- a/packages/serving/src/requestFingerprint.ts
+++ b/packages/serving/src/requestFingerprint.ts
@@ -1,6 +1,6 @@
 import * as crypto from "node:crypto";
 
-/** What makes two requests the same, whichever attempt and daemon they come by. */
+/** What identifies a request, whichever attempt and daemon it arrives by. */
 export interface FingerprintInputs {
   readonly method: string;
   readonly host: string;
@@ -11,15 +11,15 @@
   readonly callerAddress: string;
 }
 
-/** Short names of a request that say nothing of its body or its caller; equal for its retries, at all daemons. */
+/** Short hashes of a request that reveal neither its body nor its caller; the same for its retries, on all daemons. */
 export interface Fingerprints {
-  /** Of what is asked for, by whomever. */
+  /** Fingerprint of the content, the same for all callers. */
   readonly content: string;
-  /** Of what is asked for, by this caller. */
+  /** Fingerprint of the content from this caller. */
   readonly contentAndCaller: string;
 }
 
-/** Hexadecimal digits that are kept: 64 bits, of which a second request with the same ones is not found by trying. */
+/** Hexadecimal digits that are kept: 64 bits, too many to find a second request with the same fingerprint by trying. */
 const DIGITS = 16;
 
 /**
@@ -32,9 +32,9 @@
   return { content, contentAndCaller: digestOf([content, callerAddress], undefined) };
 }
 
-function digestOf(words: readonly string[], body: Uint8Array | undefined): string {
-  // As JSON, since two lists of words may read the same when joined.
-  const hash = crypto.createHash("sha256").update(JSON.stringify(words));
+function digestOf(strings: readonly string[], body: Uint8Array | undefined): string {
+  // As JSON, since different lists of strings may be equal when joined.
+  const hash = crypto.createHash("sha256").update(JSON.stringify(strings));
   if (body !== undefined) hash.update(body);
   return hash.digest("hex").slice(0, DIGITS);
 }
--- a/packages/serving/src/retryDecision.ts
+++ b/packages/serving/src/retryDecision.ts
@@ -1,69 +1,69 @@
 import * as configurations from "./configuration.js";
 
-/** What is known of one send to an endpoint that gave no answer to pass on. */
+/** What is known of a send to an endpoint that gave no answer to forward. */
 export enum SendOutcome {
-  /** Nothing left this process. */
+  /** Nothing was sent. */
   NotSent = "not-sent",
-  /** The endpoint said that it did not run the request. */
+  /** The endpoint answered that it did not run the request. */
   Declined = "declined",
-  /** It may have run. */
+  /** The request may have run. */
   Unknown = "unknown",
 }
 
 /** What to do after a send that gave no answer. */
 export enum NextStep {
   SendAgain = "send-again",
-  /** The request has not run and is given up: the caller may come back. */
+  /** The request has not run and is given up: the caller may retry. */
   Reject = "reject",
-  /** It may have run and may not be repeated, or no repeat is left. */
+  /** The request may have run and must not be retried, or no retry is left. */
   Fail = "fail",
-  /** Its time is up and it may have run. */
+  /** The deadline has passed and the request may have run. */
   TimedOut = "timed-out",
 }
 
 /** What the next step is decided from. */
-export interface StepInputs {
+export interface RetryInputs {
   readonly outcome: SendOutcome;
   /** Whether any earlier send of this request may have run. */
   readonly mayHaveRun: boolean;
   readonly requestClass: configurations.RequestClass;
   readonly resumable: boolean;
-  /** Sends that count so far, this one included. */
+  /** Number of sends that count so far, including this one. */
   readonly sends: number;
   readonly attempts: number;
   readonly remainingMs: number;
   readonly hasOtherEndpoint: boolean;
-  /** Takes one repeat from the service's budget; asked only when all else allows a repeat. */
+  /** Takes one retry from the service's budget; called only if everything else allows a retry. */
   readonly spendRetry: () => boolean;
 }
 
-/** Time below which another send could not be answered, in milliseconds. */
-const LEAST_USEFUL_MS = 25;
+/** Remaining time below which another send could not be answered, in milliseconds. */
+const MIN_REMAINING_MS = 25;
 
 /**
- * @param inputs - what is known
- * @returns whether the request may run again though an earlier send may have run
+ * @param inputs - class of the request, and whether its route allows resuming
+ * @returns whether the request may run again even though an earlier send may have run
  */
-export function mayRetry(inputs: Pick<StepInputs, "requestClass" | "resumable">): boolean {
+export function mayRetry(inputs: Pick<RetryInputs, "requestClass" | "resumable">): boolean {
   if (inputs.requestClass === configurations.RequestClass.Idempotent) return true;
   return inputs.requestClass === configurations.RequestClass.Stream && inputs.resumable;
 }
 
 /**
- * Decides what follows a send without an answer. A request that may have run is
- * never told to be not run, whatever a later send says of itself.
+ * Decides what follows a send without an answer. The caller of a request that
+ * may have run is never told that it did not run, whatever the outcome of a later send.
  *
  * @param inputs - what is known
  * @returns the next step
  */
-export function nextStep(inputs: StepInputs): NextStep {
-  const ran = inputs.mayHaveRun || inputs.outcome === SendOutcome.Unknown;
-  const allowed = !ran || mayRetry(inputs);
-  const worthwhile = inputs.remainingMs >= LEAST_USEFUL_MS && inputs.hasOtherEndpoint;
-  if (allowed && worthwhile && inputs.sends < inputs.attempts) {
-    const free = inputs.sends === 0;
-    if (free || inputs.spendRetry()) return NextStep.SendAgain;
+export function nextStep(inputs: RetryInputs): NextStep {
+  const mayHaveRun = inputs.mayHaveRun || inputs.outcome === SendOutcome.Unknown;
+  const isAllowed = !mayHaveRun || mayRetry(inputs);
+  const isUseful = inputs.remainingMs >= MIN_REMAINING_MS && inputs.hasOtherEndpoint;
+  if (isAllowed && isUseful && inputs.sends < inputs.attempts) {
+    const isFirstCounted = inputs.sends === 0;
+    if (isFirstCounted || inputs.spendRetry()) return NextStep.SendAgain;
   }
-  if (!ran) return NextStep.Reject;
+  if (!mayHaveRun) return NextStep.Reject;
   return inputs.remainingMs <= 0 ? NextStep.TimedOut : NextStep.Fail;
 }
--- a/packages/serving/src/suspectTable.ts
+++ b/packages/serving/src/suspectTable.ts
@@ -1,74 +1,77 @@
-/** Which requests are suspected of ending the endpoints that run them. */
+/** Requests that are suspected of crashing the endpoints that run them. */
 
 /** How far a request is suspected. */
 export enum Suspicion {
   None = "none",
-  /** An endpoint ended under it, as under all others that ran there. */
+  /** One endpoint crashed while it ran there, as did all other requests that ran there. */
   Suspected = "suspected",
-  /** Two ended: it runs alone in the fleet, where it can hurt least and tells most. */
+  /** Two crashed: only one such request runs at a time in the fleet, which limits the damage and identifies the cause. */
   Isolated = "isolated",
-  /** Three ended, which is what the users allow: it is rejected. */
+  /** Three crashed, which is the limit that the users set: it is rejected. */
   Quarantined = "quarantined",
 }
 
-/** An endpoint that ended while a request ran there. */
-export interface FatalEnd {
-  /** Names one life of one endpoint. */
+/** A crash of an endpoint while a request ran there. */
+export interface EndpointCrash {
+  /** Identifies one incarnation of one endpoint. */
   readonly life: number;
   readonly agoMs: number;
 }
 
-/** State of a suspect as daemons publish it; in ages, since their clocks differ. */
+/** State of a suspect as daemons publish it; as ages, since their clocks differ. */
 export interface SuspectRecord {
   readonly fingerprint: string;
-  readonly ends: readonly FatalEnd[];
-  /** Time since a run of it ended well, if one did. */
+  readonly ends: readonly EndpointCrash[];
+  /** Time since a run of it succeeded, if one did. */
   readonly clearedAgoMs: number | undefined;
 }
 
-/** What the table needs. */
+/** Dependencies of the table. */
 export interface SuspectTableParts {
   /**
-   * @param life - a life of an endpoint that is reported to have ended
-   * @param endedAt - when, in milliseconds
-   * @returns whether it is known to have gone on after that
+   * @param incarnation - an incarnation of an endpoint that is reported to have crashed
+   * @param crashedAt - when, in milliseconds
+   * @returns whether it is known to have answered after that
    */
-  readonly isRefuted: (life: number, endedAt: number) => boolean;
-  /** Takes each change of a suspicion. */
-  readonly onChange: (fingerprint: string, suspicion: Suspicion, ends: number) => void;
+  readonly isRefuted: (incarnation: number, crashedAt: number) => boolean;
+  /** Called with each change of a suspicion. */
+  readonly onChange: (fingerprint: string, suspicion: Suspicion, crashes: number) => void;
 }
 
-/** Ends from which a request is isolated, and from which it is rejected. */
-const ISOLATED_FROM = 2;
-const QUARANTINED_FROM = 3;
+/** Numbers of crashes from which a request is isolated, and from which it is rejected. */
+const ISOLATION_CRASHES = 2;
+const QUARANTINE_CRASHES = 3;
 
-/** Ends of one suspect that are kept, the newest. */
-const MOST_ENDS = 8;
+/** Crashes that are kept of one suspect, the newest. */
+const MAX_CRASHES = 8;
 
-/** Suspects that are kept; the least suspected go first. */
-const MOST_SUSPECTS = 1_024;
+/** Suspects that are kept; the least suspected are removed first. */
+const MAX_SUSPECTS = 1_024;
 
-/** Time for which a suspect that is not rejected is kept after the last end, in milliseconds. */
-const KEPT_MS = 600_000;
+/** Time for which a suspect that is not rejected is kept after its last crash, in milliseconds. */
+const RETENTION_MS = 600_000;
 
-/** Time for which a request is rejected after the third end; it doubles with each further one, in milliseconds. */
-const TERM_MS = { first: 600_000, longest: 14_400_000 };
+/** Time for which a request is rejected after the third crash, in milliseconds; it doubles with each further one. */
+const REJECTION_MS = { first: 600_000, max: 14_400_000 };
 
-/** Time for which a change is in each heartbeat, and interval at which what is isolated or rejected is repeated. */
-const PUBLISHED_MS = { change: 4_000, again: 1_000 };
+/**
+ * Time for which a change is part of each heartbeat, and interval at which isolated or rejected suspects are repeated,
+ * in milliseconds.
+ */
+const PUBLISHED_MS = { change: 4_000, repeat: 1_000 };
 
-/** Suspects in one heartbeat. */
-const MOST_PUBLISHED = 10;
+/** Maximum number of suspects in one heartbeat. */
+const MAX_PUBLISHED = 10;
 
-/** Suspects that a daemon receives when it starts. */
-const MOST_LASTING = 64;
+/** Maximum number of suspects that a daemon receives when it starts. */
+const MAX_SNAPSHOT = 64;
 
-/** Validity of a peer's trial without a further heartbeat, in milliseconds: several may be lost. */
+/** Validity of a peer's trial without another heartbeat, in milliseconds: several heartbeats may be lost. */
 const PEER_TRIAL_MS = 1_000;
 
 interface Suspect {
-  /** Instants at which lives of endpoints ended, in milliseconds, oldest first. */
-  readonly ends: Map<number, number>;
+  /** Instants in milliseconds at which incarnations of endpoints crashed, oldest first. */
+  readonly crashes: Map<number, number>;
   clearedAt: number;
   changedAt: number;
   publishedAt: number;
@@ -76,24 +79,25 @@
 }
 
 /**
- * Many requests run on an endpoint when it ends, and endpoints end for other reasons too. Counted are the ends under one
- * request since a run of it last ended well, so that a call that runs everywhere clears itself. Ends that a rejected
- * request accounts for don't isolate the others that ran beside it.
+ * Counts the crashes of endpoints while a request ran there. Many requests run on an endpoint when it crashes, and
+ * endpoints crash for other reasons too. So only crashes since the last successful run of the request count, and a call
+ * that runs everywhere clears itself. Crashes that a rejected request explains don't isolate the requests that ran
+ * beside it.
  */
 export class SuspectTable {
   readonly #parts: SuspectTableParts;
   readonly #suspects = new Map<string, Suspect>();
-  /** Those with so many ends that they are rejected, or are tried after their term. */
-  readonly #condemned = new Set<string>();
+  /** Suspects with so many crashes that they are rejected, or get a trial after the rejection. */
+  readonly #quarantined = new Set<string>();
   readonly #peerTrials = new Map<string, number>();
   #trial: string | undefined;
 
-  /** @param parts - what it needs */
+  /** @param parts - dependencies */
   constructor(parts: SuspectTableParts) {
     this.#parts = parts;
   }
 
-  /** @returns whether nothing is suspected, so that no request needs to be looked up */
+  /** @returns whether there are no suspects, so that no request needs to be looked up */
   get isEmpty(): boolean {
     return this.#suspects.size === 0;
   }
@@ -104,28 +108,28 @@
   }
 
   /**
-   * @param fingerprint - a request that was running when an endpoint ended
-   * @param life - the endpoint's life
-   * @param endedAt - when it ended, in milliseconds
+   * @param fingerprint - a request that was running when an endpoint crashed
+   * @param incarnation - the endpoint's incarnation
+   * @param crashedAt - when it crashed, in milliseconds
    * @param now - current instant in milliseconds
    */
-  noteCrash(fingerprint: string, life: number, endedAt: number, now: number): void {
-    const suspect = this.#suspect(fingerprint, now);
-    if (!addEnd(suspect, life, endedAt)) return;
+  noteCrash(fingerprint: string, incarnation: number, crashedAt: number, now: number): void {
+    const suspect = this.#getOrCreate(fingerprint, now);
+    if (!addCrash(suspect, incarnation, crashedAt)) return;
     suspect.changedAt = now;
-    this.#review(fingerprint, suspect, now);
+    this.#updateSuspicions(fingerprint, suspect, now);
   }
 
   /**
-   * @param fingerprint - a request whose run has ended well, or that an operator lifts
+   * @param fingerprint - a request whose run has succeeded, or that an operator has cleared
    * @param now - current instant in milliseconds
    */
   noteSuccess(fingerprint: string, now: number): void {
     const suspect = this.#suspects.get(fingerprint);
-    if (suspect === undefined || suspect.ends.size === 0) return;
+    if (suspect === undefined || suspect.crashes.size === 0) return;
     clear(suspect, now);
     suspect.changedAt = now;
-    this.#review(fingerprint, suspect, now);
+    this.#updateSuspicions(fingerprint, suspect, now);
   }
 
   /**
@@ -135,7 +139,7 @@
    */
   suspicionOf(fingerprint: string, now: number): Suspicion {
     const suspect = this.#suspects.get(fingerprint);
-    if (suspect === undefined || isFaded(suspect, now)) return Suspicion.None;
+    if (suspect === undefined || isExpired(suspect, now)) return Suspicion.None;
     return this.#judge(fingerprint, suspect, now);
   }
 
@@ -150,15 +154,16 @@
   }
 
   /**
-   * One suspect runs at a time in the fleet: two could account for each other's end.
+   * Begins the trial of a suspect. Only one runs at a time in the fleet: with two, each could be blamed for a crash that
+   * the other one caused.
    *
    * @param fingerprint - an isolated request
    * @param now - current instant in milliseconds
    * @returns whether it may run now; it is on trial until {@link endTrial}
    */
   beginTrial(fingerprint: string, now: number): boolean {
-    const isElsewhere = [...this.#peerTrials.values()].some((until) => until > now);
-    if (this.#trial !== undefined || isElsewhere) return false;
+    const isRunningElsewhere = [...this.#peerTrials.values()].some((until) => until > now);
+    if (this.#trial !== undefined || isRunningElsewhere) return false;
     this.#trial = fingerprint;
     return true;
   }
@@ -170,45 +175,45 @@
 
   /**
    * @param daemon - a peer
-   * @param isTrying - whether it runs a suspect on trial
+   * @param isRunningTrial - whether it runs a suspect on trial
    * @param now - current instant in milliseconds
    */
-  notePeerTrial(daemon: string, isTrying: boolean, now: number): void {
-    if (isTrying) this.#peerTrials.set(daemon, now + PEER_TRIAL_MS);
+  notePeerTrial(daemon: string, isRunningTrial: boolean, now: number): void {
+    if (isRunningTrial) this.#peerTrials.set(daemon, now + PEER_TRIAL_MS);
     else this.#peerTrials.delete(daemon);
   }
 
   /**
-   * @param record - what a peer or the key-value service holds on a suspect
+   * @param record - state of a suspect from a peer or the key-value service
    * @param now - current instant in milliseconds
    */
   merge(record: SuspectRecord, now: number): void {
     const known = this.#suspects.get(record.fingerprint);
     if (known === undefined && record.ends.length === 0) return;
-    const suspect = this.#suspect(record.fingerprint, now);
+    const suspect = this.#getOrCreate(record.fingerprint, now);
     let hasChanged = false;
-    for (const { life, agoMs } of record.ends.slice(0, MOST_ENDS)) {
-      const endedAt = now - Math.max(0, agoMs);
-      if (this.#parts.isRefuted(life, endedAt)) continue;
-      hasChanged = addEnd(suspect, life, endedAt) || hasChanged;
+    for (const { life: incarnation, agoMs } of record.ends.slice(0, MAX_CRASHES)) {
+      const crashedAt = now - Math.max(0, agoMs);
+      if (this.#parts.isRefuted(incarnation, crashedAt)) continue;
+      hasChanged = addCrash(suspect, incarnation, crashedAt) || hasChanged;
     }
-    // Published again: daemons that don't read the key-value service learn so what an operator has lifted there.
+    // Published again, so that daemons that don't read the key-value service learn what an operator has cleared there.
     if (record.clearedAgoMs !== undefined && clear(suspect, now - Math.max(0, record.clearedAgoMs))) {
       suspect.changedAt = now;
       hasChanged = true;
     }
-    if (hasChanged) this.#review(record.fingerprint, suspect, now);
-    else if (suspect.ends.size === 0 && suspect.clearedAt === -Infinity) this.#drop(record.fingerprint);
+    if (hasChanged) this.#updateSuspicions(record.fingerprint, suspect, now);
+    else if (suspect.crashes.size === 0 && suspect.clearedAt === -Infinity) this.#remove(record.fingerprint);
   }
 
   /**
    * @param now - current instant in milliseconds
-   * @returns records for the next heartbeat: recent changes, the most suspected first, and by turns what is isolated or rejected
+   * @returns records for the next heartbeat, the most suspected first: recent changes, and in rotation isolated or rejected suspects
    */
   recordsToPublish(now: number): SuspectRecord[] {
     const due = [...this.#suspects].filter(([, suspect]) => isDue(suspect, now));
-    due.sort(([, left], [, right]) => right.ends.size - left.ends.size || left.publishedAt - right.publishedAt);
-    return due.slice(0, MOST_PUBLISHED).map(([fingerprint, suspect]) => {
+    due.sort(([, left], [, right]) => right.crashes.size - left.crashes.size || left.publishedAt - right.publishedAt);
+    return due.slice(0, MAX_PUBLISHED).map(([fingerprint, suspect]) => {
       suspect.publishedAt = now;
       return recordOf(fingerprint, suspect, now);
     });
@@ -220,16 +225,16 @@
    */
   snapshotRecords(now: number): SuspectRecord[] {
     return [...this.#suspects]
-      .filter(([, suspect]) => suspect.ends.size >= ISOLATED_FROM && !isFaded(suspect, now))
-      .sort(([, left], [, right]) => right.ends.size - left.ends.size)
-      .slice(0, MOST_LASTING)
+      .filter(([, suspect]) => suspect.crashes.size >= ISOLATION_CRASHES && !isExpired(suspect, now))
+      .sort(([, left], [, right]) => right.crashes.size - left.crashes.size)
+      .slice(0, MAX_SNAPSHOT)
       .map(([fingerprint, suspect]) => recordOf(fingerprint, suspect, now));
   }
 
   /**
    * @param fingerprint - a suspect
    * @param now - current instant in milliseconds
-   * @returns what is known of it, if anything is
+   * @returns its record, if it is known
    */
   recordOf(fingerprint: string, now: number): SuspectRecord | undefined {
     const suspect = this.#suspects.get(fingerprint);
@@ -238,18 +243,19 @@
 
   /**
    * @param now - current instant in milliseconds
-   * @returns requests that are suspected in any way
+   * @returns number of requests that are suspected to any degree
    */
   count(now: number): number {
-    return [...this.#suspects.values()].filter((suspect) => suspect.ends.size > 0 && !isFaded(suspect, now)).length;
+    return [...this.#suspects.values()].filter((suspect) => suspect.crashes.size > 0 && !isExpired(suspect, now))
+      .length;
   }
 
-  #suspect(fingerprint: string, now: number): Suspect {
+  #getOrCreate(fingerprint: string, now: number): Suspect {
     let suspect = this.#suspects.get(fingerprint);
     if (suspect === undefined) {
-      if (this.#suspects.size >= MOST_SUSPECTS) this.#dropLeast(now);
+      if (this.#suspects.size >= MAX_SUSPECTS) this.#evict(now);
       suspect = {
-        ends: new Map(),
+        crashes: new Map(),
         clearedAt: -Infinity,
         changedAt: -Infinity,
         publishedAt: -Infinity,
@@ -260,97 +266,103 @@
     return suspect;
   }
 
-  /** An eighth at once, as finding them takes a look at all. */
-  #dropLeast(now: number): void {
-    for (const [fingerprint, suspect] of this.#suspects) if (isFaded(suspect, now)) this.#drop(fingerprint);
-    const excess = this.#suspects.size - MOST_SUSPECTS * (7 / 8);
+  /** Removes an eighth of the suspects at once, as finding the least suspected ones takes a pass over all. */
+  #evict(now: number): void {
+    for (const [fingerprint, suspect] of this.#suspects) if (isExpired(suspect, now)) this.#remove(fingerprint);
+    const excess = this.#suspects.size - MAX_SUSPECTS * (7 / 8);
     if (excess <= 0) return;
-    const byRank = [...this.#suspects].sort(
-      ([, left], [, right]) => left.ends.size - right.ends.size || lastEnd(left) - lastEnd(right),
+    const leastSuspectedFirst = [...this.#suspects].sort(
+      ([, left], [, right]) => left.crashes.size - right.crashes.size || lastCrashAt(left) - lastCrashAt(right),
     );
-    for (const [fingerprint] of byRank.slice(0, excess)) this.#drop(fingerprint);
+    for (const [fingerprint] of leastSuspectedFirst.slice(0, excess)) this.#remove(fingerprint);
   }
 
-  #drop(fingerprint: string): void {
+  #remove(fingerprint: string): void {
     this.#suspects.delete(fingerprint);
-    this.#condemned.delete(fingerprint);
+    this.#quarantined.delete(fingerprint);
   }
 
   #judge(fingerprint: string, suspect: Suspect, now: number): Suspicion {
-    if (suspect.ends.size >= QUARANTINED_FROM) {
+    if (suspect.crashes.size >= QUARANTINE_CRASHES) {
       return rejectedUntil(suspect) > now ? Suspicion.Quarantined : Suspicion.Isolated;
     }
-    const unexplained = [...suspect.ends.keys()].filter((life) => !this.#isExplained(life, fingerprint)).length;
-    if (unexplained >= ISOLATED_FROM) return Suspicion.Isolated;
+    const unexplained = [...suspect.crashes.keys()].filter((each) => !this.#isExplained(each, fingerprint)).length;
+    if (unexplained >= ISOLATION_CRASHES) return Suspicion.Isolated;
     return unexplained > 0 ? Suspicion.Suspected : Suspicion.None;
   }
 
-  /** Whether another request that is rejected ran there too. */
-  #isExplained(life: number, fingerprint: string): boolean {
-    for (const other of this.#condemned) {
-      if (other !== fingerprint && this.#suspects.get(other)?.ends.has(life) === true) return true;
+  /** Whether another request ran on the crashed incarnation that has enough crashes to be rejected. */
+  #isExplained(incarnation: number, fingerprint: string): boolean {
+    for (const other of this.#quarantined) {
+      if (other !== fingerprint && this.#suspects.get(other)?.crashes.has(incarnation) === true) return true;
     }
     return false;
   }
 
-  #review(fingerprint: string, suspect: Suspect, now: number): void {
-    const wasCondemned = this.#condemned.has(fingerprint);
-    const isCondemned = suspect.ends.size >= QUARANTINED_FROM;
-    if (isCondemned) this.#condemned.add(fingerprint);
-    else this.#condemned.delete(fingerprint);
-    if (!isCondemned && !wasCondemned) this.#judgeAnew(fingerprint, suspect, now);
-    else for (const [each, its] of this.#suspects) this.#judgeAnew(each, its, now);
+  /** Updates the suspicion of a changed suspect; of all suspects if it is or was one that explains crashes. */
+  #updateSuspicions(fingerprint: string, suspect: Suspect, now: number): void {
+    const wasQuarantined = this.#quarantined.has(fingerprint);
+    const isQuarantined = suspect.crashes.size >= QUARANTINE_CRASHES;
+    if (isQuarantined) this.#quarantined.add(fingerprint);
+    else this.#quarantined.delete(fingerprint);
+    if (!isQuarantined && !wasQuarantined) this.#updateSuspicion(fingerprint, suspect, now);
+    else for (const [each, state] of this.#suspects) this.#updateSuspicion(each, state, now);
   }
 
-  #judgeAnew(fingerprint: string, suspect: Suspect, now: number): void {
+  #updateSuspicion(fingerprint: string, suspect: Suspect, now: number): void {
     const suspicion = this.#judge(fingerprint, suspect, now);
     if (suspicion === suspect.suspicion) return;
     suspect.suspicion = suspicion;
-    this.#parts.onChange(fingerprint, suspicion, suspect.ends.size);
+    this.#parts.onChange(fingerprint, suspicion, suspect.crashes.size);
   }
 }
 
-/** @returns whether it was not known */
-function addEnd(suspect: Suspect, life: number, endedAt: number): boolean {
-  if (endedAt <= suspect.clearedAt || suspect.ends.has(life)) return false;
-  suspect.ends.set(life, endedAt);
-  const [oldest] = [...suspect.ends].sort(([, left], [, right]) => left - right)[0] ?? [];
-  if (suspect.ends.size > MOST_ENDS && oldest !== undefined) suspect.ends.delete(oldest);
+/** @returns whether the crash is new and counts */
+function addCrash(suspect: Suspect, incarnation: number, crashedAt: number): boolean {
+  if (crashedAt <= suspect.clearedAt || suspect.crashes.has(incarnation)) return false;
+  suspect.crashes.set(incarnation, crashedAt);
+  const [oldest] = [...suspect.crashes].sort(([, left], [, right]) => left - right)[0] ?? [];
+  if (suspect.crashes.size > MAX_CRASHES && oldest !== undefined) suspect.crashes.delete(oldest);
   return true;
 }
 
-/** @returns whether anything was cleared */
+/** @returns whether any crash was cleared */
 function clear(suspect: Suspect, clearedAt: number): boolean {
-  const before = suspect.ends.size;
+  const before = suspect.crashes.size;
   suspect.clearedAt = Math.max(suspect.clearedAt, clearedAt);
-  for (const [life, endedAt] of suspect.ends) if (endedAt <= suspect.clearedAt) suspect.ends.delete(life);
-  return suspect.ends.size < before;
+  for (const [incarnation, at] of suspect.crashes) if (at <= suspect.clearedAt) suspect.crashes.delete(incarnation);
+  return suspect.crashes.size < before;
 }
 
-function lastEnd(suspect: Suspect): number {
-  return Math.max(-Infinity, ...suspect.ends.values());
+function lastCrashAt(suspect: Suspect): number {
+  return Math.max(-Infinity, ...suspect.crashes.values());
 }
 
 function rejectedUntil(suspect: Suspect): number {
-  const beyond = suspect.ends.size - QUARANTINED_FROM;
-  if (beyond < 0) return -Infinity;
-  return lastEnd(suspect) + Math.min(TERM_MS.longest, TERM_MS.first * 2 ** beyond);
+  const furtherCrashes = suspect.crashes.size - QUARANTINE_CRASHES;
+  if (furtherCrashes < 0) return -Infinity;
+  return lastCrashAt(suspect) + Math.min(REJECTION_MS.max, REJECTION_MS.first * 2 ** furtherCrashes);
 }
 
-function isFaded(suspect: Suspect, now: number): boolean {
-  const usedAt = Math.max(lastEnd(suspect), suspect.clearedAt, rejectedUntil(suspect));
-  return now - usedAt > KEPT_MS;
+function isExpired(suspect: Suspect, now: number): boolean {
+  const relevantUntil = Math.max(lastCrashAt(suspect), suspect.clearedAt, rejectedUntil(suspect));
+  return now - relevantUntil > RETENTION_MS;
 }
 
 function isDue(suspect: Suspect, now: number): boolean {
   if (now - suspect.changedAt <= PUBLISHED_MS.change) return true;
   return (
-    suspect.ends.size >= ISOLATED_FROM && !isFaded(suspect, now) && now - suspect.publishedAt >= PUBLISHED_MS.again
+    suspect.crashes.size >= ISOLATION_CRASHES &&
+    !isExpired(suspect, now) &&
+    now - suspect.publishedAt >= PUBLISHED_MS.repeat
   );
 }
 
 function recordOf(fingerprint: string, suspect: Suspect, now: number): SuspectRecord {
-  const ends = [...suspect.ends].map(([life, endedAt]) => ({ life, agoMs: Math.max(0, now - endedAt) }));
+  const ends = [...suspect.crashes].map(([incarnation, crashedAt]) => ({
+    life: incarnation,
+    agoMs: Math.max(0, now - crashedAt),
+  }));
   const clearedAgoMs = suspect.clearedAt === -Infinity ? undefined : Math.max(0, now - suspect.clearedAt);
   return { fingerprint, ends, clearedAgoMs };
 }
--- a/packages/serving/tests/endpointDirectory.test.ts
+++ b/packages/serving/tests/endpointDirectory.test.ts
@@ -3,7 +3,7 @@
 import * as assert from "uvu/assert";
 import * as serving from "../src/index.js";
 
-const suite = uvu.suite("what is believed of endpoints");
+const suite = uvu.suite("endpoint directory");
 
 function endpoint(id: string, options: Partial<serving.Endpoint> = {}): serving.Endpoint {
   return {
@@ -18,21 +18,21 @@
   };
 }
 
-// A daemon hears from the key-value service that an endpoint leaves; then a peer that lags tells the entry from
+// A daemon learns from the key-value service that an endpoint is leaving; then a lagging peer sends the entry from
 // before. Callers would be sent to an endpoint that is about to end.
-suite("an older word never brings a leaving endpoint back", () => {
-  const word = fastCheck.record({ revision: fastCheck.integer({ min: 1, max: 20 }), leaving: fastCheck.boolean() });
+suite("an older entry never brings a leaving endpoint back", () => {
+  const entry = fastCheck.record({ revision: fastCheck.integer({ min: 1, max: 20 }), leaving: fastCheck.boolean() });
   fastCheck.assert(
-    fastCheck.property(fastCheck.array(word, { maxLength: 20 }), (words) => {
+    fastCheck.property(fastCheck.array(entry, { maxLength: 20 }), (entries) => {
       const directory = new serving.EndpointDirectory();
-      for (const { revision, leaving } of words) directory.put(endpoint("e1", { leaving }), revision);
-      const newest = words.reduce<{ revision: number; leaving: boolean } | undefined>(
+      for (const { revision, leaving } of entries) directory.put(endpoint("e1", { leaving }), revision);
+      const newest = entries.reduce<{ revision: number; leaving: boolean } | undefined>(
         (best, each) => (best === undefined || each.revision > best.revision ? each : best),
         undefined,
       );
       if (newest === undefined) return;
-      // Words of one revision are the same word.
-      const same = words.filter((each) => each.revision === newest.revision);
+      // Entries of one revision are the same entry.
+      const same = entries.filter((each) => each.revision === newest.revision);
       if (same.some((each) => each.leaving !== newest.leaving)) return;
       assert.is(directory.isAvailable("e1"), !newest.leaving);
     }),
@@ -40,7 +40,7 @@
   );
 });
 
-suite("a removed endpoint gets nothing, also if an older entry is told after it", () => {
+suite("a removed endpoint is unavailable, also if an older entry arrives after the removal", () => {
   const directory = new serving.EndpointDirectory();
   directory.put(endpoint("e1"), 5);
   directory.remove("e1", 9);
@@ -48,9 +48,9 @@
   assert.not.ok(directory.isAvailable("e1"));
 });
 
-// The key-value service was away and entries lapsed meanwhile, though their endpoints live and serve. Taken for
-// gone at once, every call would be rejected until the entries are written again.
-suite("entries that lapsed in an outage are kept until the endpoints had time to return", () => {
+// The key-value service was unreachable and entries expired meanwhile, though their endpoints are alive and serve. If
+// they were removed at once, every call would be rejected until the entries are written again.
+suite("entries that expired in an outage are kept until the endpoints had time to register again", () => {
   const directory = new serving.EndpointDirectory();
   directory.put(endpoint("e1"), 5);
   directory.noteStoreRecovered(1_000);
@@ -60,8 +60,8 @@
   assert.not.ok(directory.isAvailable("e1"));
 });
 
-// An endpoint is taken for gone when its entry lapses, and its entry comes back: it lives after all.
-suite("an endpoint whose entry comes back is used again", () => {
+// An endpoint is removed when its entry expires, and its entry is written again: it is alive after all.
+suite("an endpoint whose entry is written again is available again", () => {
   const directory = new serving.EndpointDirectory();
   directory.put(endpoint("e1"), 5);
   directory.remove("e1", 9);
--- a/packages/serving/tests/endpointIncarnations.test.ts
+++ b/packages/serving/tests/endpointIncarnations.test.ts
@@ -3,10 +3,10 @@
 import * as assert from "uvu/assert";
 import * as serving from "../src/index.js";
 
-const suite = uvu.suite("lives of endpoints that start again under their id");
+const suite = uvu.suite("incarnations of endpoints that restart under their id");
 
-const LIVES = 3;
-const MOST_WORDS = 12;
+const INCARNATIONS = 3;
+const MAX_UPDATES = 12;
 const RUNS = 400;
 
 function endpoint(options: Partial<serving.Endpoint> = {}): serving.Endpoint {
@@ -25,37 +25,40 @@
 enum Kind {
   Ready = "ready",
   Leaving = "leaving",
-  /** A peer's word that a life is leaving. */
+  /** A peer's message that an incarnation is leaving. */
   Departure = "departure",
   Removed = "removed",
   Foreign = "foreign",
 }
 
-interface Word {
+interface Update {
   readonly kind: Kind;
   readonly bornAt: number;
   readonly revision: number;
 }
 
-/** Words with a revision each, and the order in which a daemon hears them; some are heard twice. */
-function heard(kinds: readonly Kind[], lives: number): fastCheck.Arbitrary<[words: Word[], order: Word[]]> {
-  const word = fastCheck.record({
+/** Updates with a revision each, and the order in which a daemon receives them; each is received twice. */
+function updatesInAnyOrder(
+  kinds: readonly Kind[],
+  incarnations: number,
+): fastCheck.Arbitrary<[updates: Update[], order: Update[]]> {
+  const update = fastCheck.record({
     kind: fastCheck.constantFrom(...kinds),
-    bornAt: fastCheck.integer({ min: 1, max: lives }),
+    bornAt: fastCheck.integer({ min: 1, max: incarnations }),
   });
-  return fastCheck.array(word, { minLength: 1, maxLength: MOST_WORDS }).chain((list) => {
-    const words = list.map((each, index) => ({ ...each, revision: index + 1 }));
-    const twice = [...words, ...words];
+  return fastCheck.array(update, { minLength: 1, maxLength: MAX_UPDATES }).chain((list) => {
+    const updates = list.map((each, index) => ({ ...each, revision: index + 1 }));
+    const twice = [...updates, ...updates];
     return fastCheck.tuple(
-      fastCheck.constant(words),
+      fastCheck.constant(updates),
       fastCheck.shuffledSubarray(twice, { minLength: twice.length, maxLength: twice.length }),
     );
   });
 }
 
-function takeAll(words: readonly Word[]): serving.EndpointDirectory {
+function applyAll(updates: readonly Update[]): serving.EndpointDirectory {
   const directory = new serving.EndpointDirectory();
-  for (const { kind, bornAt, revision } of words) {
+  for (const { kind, bornAt, revision } of updates) {
     if (kind === Kind.Ready) directory.put(endpoint({ bornAt }), revision);
     else if (kind === Kind.Leaving) directory.put(endpoint({ bornAt, leaving: true }), revision);
     else if (kind === Kind.Departure) directory.remove("e1", revision, bornAt);
@@ -65,34 +68,37 @@
   return directory;
 }
 
-// Each daemon hears of an endpoint's lives in another order: from the store, from peers that lag, once more after an
-// outage. Whichever way, all must end with the latest life, as that life's newest word says. Else some daemons send
-// callers to where nobody is, and others keep them from an endpoint that is there.
-suite("words of several lives end in the same belief in any order", () => {
+// Each daemon receives the updates of an endpoint's incarnations in another order: from the store, from lagging peers,
+// again after an outage. All must end with the newest update of the latest incarnation. Otherwise some daemons would
+// send callers to an address where nothing runs, and others would send none to an endpoint that is available.
+suite("updates of several incarnations lead to the same state in any order", () => {
   fastCheck.assert(
-    fastCheck.property(heard([Kind.Ready, Kind.Leaving, Kind.Departure], LIVES), ([words, order]) => {
-      const latest = Math.max(...words.map(({ bornAt }) => bornAt));
-      const newest = words.filter(({ bornAt }) => bornAt === latest).at(-1);
-      const directory = takeAll(order);
-      assert.is(directory.isAvailable("e1"), newest?.kind === Kind.Ready);
-      assert.is(directory.bornAtOf("e1"), latest);
-    }),
+    fastCheck.property(
+      updatesInAnyOrder([Kind.Ready, Kind.Leaving, Kind.Departure], INCARNATIONS),
+      ([updates, order]) => {
+        const latest = Math.max(...updates.map(({ bornAt }) => bornAt));
+        const newest = updates.filter(({ bornAt }) => bornAt === latest).at(-1);
+        const directory = applyAll(order);
+        assert.is(directory.isAvailable("e1"), newest?.kind === Kind.Ready);
+        assert.is(directory.bornAtOf("e1"), latest);
+      },
+    ),
     { seed: 13, numRuns: RUNS },
   );
 });
 
-// Another writer, or the store when a lease ends, says something of an id in between. The highest revision decides.
-suite("removals and another writer's entries count by their revision in any order", () => {
+// Something else writes the entry of an id, or the store removes it when a lease ends. The highest revision decides.
+suite("removals and foreign entries count by their revision in any order", () => {
   fastCheck.assert(
-    fastCheck.property(heard(Object.values(Kind), 1), ([words, order]) => {
-      assert.is(takeAll(order).isAvailable("e1"), words.at(-1)?.kind === Kind.Ready);
+    fastCheck.property(updatesInAnyOrder(Object.values(Kind), 1), ([updates, order]) => {
+      assert.is(applyAll(order).isAvailable("e1"), updates.at(-1)?.kind === Kind.Ready);
     }),
     { seed: 14, numRuns: RUNS },
   );
 });
 
-// A peer tells, late and at a higher revision, that the former life was leaving. The new one has come to serve.
-suite("a departure of a former life removes nothing, one of an unknown later life does", () => {
+// A peer reports, late and at a higher revision, that the previous incarnation is leaving. The new one is available.
+suite("the departure of a previous incarnation removes nothing, that of an unknown later one does", () => {
   const directory = new serving.EndpointDirectory();
   directory.put(endpoint({ bornAt: 2 }), 5);
   assert.is(directory.remove("e1", 9, 1), undefined);
@@ -101,20 +107,20 @@
   assert.not.ok(directory.isAvailable("e1"));
 });
 
-// A request was sent to the former life's address, where another endpoint answers by now. That says nothing of the new
-// life, which is elsewhere; taken for gone, it would get nothing until its next entry.
-suite("what another endpoint answers at the former life's address isn't held against the new one", () => {
+// A request was sent to the previous incarnation's address, where another endpoint now answers. This does not concern
+// the new incarnation at its own address; if it were removed, it would get no requests until its next entry.
+suite("another endpoint's answer at the previous incarnation's address does not affect the new incarnation", () => {
   const directory = new serving.EndpointDirectory();
-  const former = endpoint({ bornAt: 1, role: serving.EngineRole.Decode });
-  directory.put(former, 5);
+  const previous = endpoint({ bornAt: 1, role: serving.EngineRole.Decode });
+  directory.put(previous, 5);
   directory.put(endpoint({ bornAt: 2, address: "10.0.0.2:80", role: serving.EngineRole.Decode }), 6);
-  assert.is(directory.markReplaced(former), undefined);
-  assert.is(directory.markRoleDeclined(former), undefined);
+  assert.is(directory.markReplaced(previous), undefined);
+  assert.is(directory.markRoleDeclined(previous), undefined);
   assert.ok(directory.isAvailable("e1"));
-  assert.not.ok(directory.isSameIncarnation(former));
+  assert.not.ok(directory.isSameIncarnation(previous));
 });
 
-suite("an endpoint that is replaced is told with its start, one whose entry is gone without", () => {
+suite("the update of a replaced endpoint states its start, that of a removed entry does not", () => {
   const directory = new serving.EndpointDirectory();
   directory.put(endpoint({ bornAt: 1 }), 5);
   assert.is(directory.markReplaced(endpoint({ bornAt: 1 }))?.leavingBornAt, 1);
@@ -122,24 +128,25 @@
   assert.is(directory.remove("e1", 7)?.leavingBornAt, undefined);
 });
 
-suite("an endpoint that is leaving as it starts again is told as both", () => {
+suite("the update of an endpoint that restarts as leaving states both", () => {
   const directory = new serving.EndpointDirectory();
   directory.put(endpoint({ bornAt: 1 }), 5);
-  const news = directory.put(endpoint({ bornAt: 2, leaving: true }), 6);
-  assert.is(news?.change, serving.EndpointChange.Leaving);
-  assert.is(news?.startedAgain, true);
+  const update = directory.put(endpoint({ bornAt: 2, leaving: true }), 6);
+  assert.is(update?.change, serving.EndpointChange.Leaving);
+  assert.is(update?.startedAgain, true);
 });
 
-suite("one that begins to say its start has started again", () => {
+suite("an endpoint whose entries begin to state a start has restarted", () => {
   const directory = new serving.EndpointDirectory();
   directory.put(endpoint(), 5);
   assert.is(directory.put(endpoint({ bornAt: 1 }), 4), undefined);
   assert.is(directory.put(endpoint({ bornAt: 1 }), 6)?.change, serving.EndpointChange.Restarted);
 });
 
-// Peers counted work at the former life, and this daemon has reads to tell of it. Kept, the new life would look busy,
-// and peers would take parts for read that nobody has. Own work ends with its own requests and stays exact.
-suite("what is guessed or told of a former life is dropped, own work stays", () => {
+// Peers counted work of the previous incarnation, and this daemon has not yet sent its reads to them. If both were kept,
+// the new incarnation would look busy, and peers would assume cached parts that it does not have. This daemon's own work
+// ends with its own requests and stays exact.
+suite("predicted and received state of a previous incarnation is dropped, own work stays", () => {
   const board = new serving.EngineBoard();
   const prompt = {
     model: "m",
@@ -170,7 +177,7 @@
     ["e2 shared", "e2 own"],
   );
   assert.is(board.running("e2", 1), 3);
-  // The peer's next word takes its former one off: what was dropped must not be taken off twice.
+  // The peer's next update replaces its previous one: what was dropped must not be subtracted twice.
   board.hear("peer", new Map([["e1", work]]), 2);
   assert.is(board.running("e1", 3), 4);
   assert.is(board.running("e2", 3), 0);
--- a/packages/serving/tests/requestFingerprint.test.ts
+++ b/packages/serving/tests/requestFingerprint.test.ts
@@ -13,26 +13,27 @@
 
 const suite = uvu.suite("fingerprints of requests");
 
-suite("are equal for a retry", () => {
+suite("are the same for a retry", () => {
   assert.equal(serving.fingerprintsOf(REQUEST), serving.fingerprintsOf({ ...REQUEST, body: Buffer.from("body") }));
 });
 
-suite("tell requests apart by each word, and callers by the second alone", () => {
-  const own = serving.fingerprintsOf(REQUEST);
-  const others: Partial<serving.FingerprintInputs>[] = [
+suite("differ for each part of the content, and only the second one for another caller", () => {
+  const original = serving.fingerprintsOf(REQUEST);
+  const changes: Partial<serving.FingerprintInputs>[] = [
     { method: "GET" },
     { host: "desk2" },
     { target: "/ask/x" },
     { body: Buffer.from("bodY") },
     { body: undefined },
   ];
-  for (const other of others) assert.is.not(serving.fingerprintsOf({ ...REQUEST, ...other }).content, own.content);
-  const ofOther = serving.fingerprintsOf({ ...REQUEST, callerAddress: "10.0.0.2" });
-  assert.is(ofOther.content, own.content);
-  assert.is.not(ofOther.contentAndCaller, own.contentAndCaller);
+  for (const change of changes)
+    assert.is.not(serving.fingerprintsOf({ ...REQUEST, ...change }).content, original.content);
+  const ofOtherCaller = serving.fingerprintsOf({ ...REQUEST, callerAddress: "10.0.0.2" });
+  assert.is(ofOtherCaller.content, original.content);
+  assert.is.not(ofOtherCaller.contentAndCaller, original.contentAndCaller);
 });
 
-suite("differ where the same text is split elsewhere", () => {
+suite("differ if the same text is split differently between host and target", () => {
   fastCheck.assert(
     fastCheck.property(
       fastCheck.string(),
@@ -41,8 +42,8 @@
       (host, target, by) => {
         const moved = { ...REQUEST, host: host + target.slice(0, by), target: target.slice(by) };
         if (moved.host === host) return true;
-        const own = serving.fingerprintsOf({ ...REQUEST, host, target });
-        return serving.fingerprintsOf(moved).content !== own.content;
+        const original = serving.fingerprintsOf({ ...REQUEST, host, target });
+        return serving.fingerprintsOf(moved).content !== original.content;
       },
     ),
     { seed: 31, numRuns: 200 },
--- a/packages/serving/tests/retryDecision.test.ts
+++ b/packages/serving/tests/retryDecision.test.ts
@@ -3,7 +3,7 @@
 import * as assert from "uvu/assert";
 import * as serving from "../src/index.js";
 
-const suite = uvu.suite("what follows a send without an answer");
+const suite = uvu.suite("next step after a send without an answer");
 
 const inputs = fastCheck.record({
   outcome: fastCheck.constantFrom(...Object.values(serving.SendOutcome)),
@@ -14,47 +14,48 @@
   attempts: fastCheck.integer({ min: 1, max: 4 }),
   remainingMs: fastCheck.integer({ min: -100, max: 2_000 }),
   hasOtherEndpoint: fastCheck.boolean(),
-  budget: fastCheck.boolean(),
+  hasBudget: fastCheck.boolean(),
 });
 
-// A caller that hears "not run" sends its call again. If an earlier send had reached an endpoint and its fate is
-// unknown, the call could run twice; so that word is given only when every send is known not to have run.
-suite("a request that may have run is never said not to have run", () => {
+// A caller that is told "not run" sends its call again. If an earlier send had reached an endpoint with an unknown
+// outcome, the call could run twice; so a request is only rejected if every send is known not to have run.
+suite("a request that may have run is never reported as not run", () => {
   fastCheck.assert(
-    fastCheck.property(inputs, ({ budget, ...given }) => {
-      const step = serving.nextStep({ ...given, spendRetry: () => budget });
-      const ran = given.mayHaveRun || given.outcome === serving.SendOutcome.Unknown;
-      if (ran) assert.is.not(step, serving.NextStep.Reject);
+    fastCheck.property(inputs, ({ hasBudget, ...given }) => {
+      const step = serving.nextStep({ ...given, spendRetry: () => hasBudget });
+      const mayHaveRun = given.mayHaveRun || given.outcome === serving.SendOutcome.Unknown;
+      if (mayHaveRun) assert.is.not(step, serving.NextStep.Reject);
       else assert.ok(step === serving.NextStep.Reject || step === serving.NextStep.SendAgain);
     }),
     { seed: 1 },
   );
 });
 
-// An endpoint breaks off after it has read a label print. Sent again, the label could come out twice.
-suite("what may run once is not sent again once it may have run", () => {
+// An endpoint breaks the connection after it has read a label print. If it were retried, the label could be printed
+// twice.
+suite("a request that may run only once is not retried once it may have run", () => {
   fastCheck.assert(
-    fastCheck.property(inputs, ({ budget, ...given }) => {
-      const step = serving.nextStep({ ...given, spendRetry: () => budget });
-      const ran = given.mayHaveRun || given.outcome === serving.SendOutcome.Unknown;
-      if (step === serving.NextStep.SendAgain && ran) assert.ok(serving.mayRetry(given));
+    fastCheck.property(inputs, ({ hasBudget, ...given }) => {
+      const step = serving.nextStep({ ...given, spendRetry: () => hasBudget });
+      const mayHaveRun = given.mayHaveRun || given.outcome === serving.SendOutcome.Unknown;
+      if (step === serving.NextStep.SendAgain && mayHaveRun) assert.ok(serving.mayRetry(given));
     }),
     { seed: 2 },
   );
 });
 
-suite("no more endpoints get a request than its route allows, and no repeat without the budget", () => {
+suite("a request is sent to no more endpoints than its route allows, and not retried without budget", () => {
   fastCheck.assert(
-    fastCheck.property(inputs, ({ budget, ...given }) => {
-      let asked = false;
-      const spendRepeat = (): boolean => {
-        asked = true;
-        return budget;
+    fastCheck.property(inputs, ({ hasBudget, ...given }) => {
+      let wasAsked = false;
+      const spendRetry = (): boolean => {
+        wasAsked = true;
+        return hasBudget;
       };
-      const step = serving.nextStep({ ...given, spendRetry: spendRepeat });
+      const step = serving.nextStep({ ...given, spendRetry });
       if (step !== serving.NextStep.SendAgain) return;
       assert.ok(given.sends < given.attempts);
-      assert.ok(given.sends === 0 || (asked && budget));
+      assert.ok(given.sends === 0 || (wasAsked && hasBudget));
     }),
     { seed: 3 },
   );
