--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -286,7 +286,11 @@
     this.#stopping = true;
     const heardAt = performance.now();
     const earliestAt = this.#loopWatch.signalledFrom();
-    const plannedStop = new serving.GracefulShutdown({ earliestAt, heardAt, graceMs: this.#settings.stopGraceMs });
+    const plannedStop = new serving.GracefulShutdown({
+      earliestSignalAt: earliestAt,
+      heardAt,
+      graceMs: this.#settings.stopGraceMs,
+    });
     const heardLateMs = Math.round(heardAt - earliestAt);
     this.#log.info("stop", { open: this.#listener.openRequests, heardLateMs });
     this.#listener.beginStop(plannedStop);
--- a/packages/serving/src/gracefulShutdown.ts
+++ b/packages/serving/src/gracefulShutdown.ts
@@ -66,7 +66,7 @@
 /** When a daemon was told to stop. */
 export interface ShutdownSignal {
   /** Earliest instant at which the signal may have been sent, in milliseconds: before a pause of the process, if any. */
-  readonly earliestAt: number;
+  readonly earliestSignalAt: number;
   /** Instant at which the signal was received, in milliseconds. */
   readonly heardAt: number;
   /** Time from the signal until the process is killed, in milliseconds. */
@@ -97,10 +97,10 @@
 
   /** @param signal - when the daemon was told to stop, and how much time it has */
   constructor(signal: ShutdownSignal) {
-    this.#startedAt = signal.earliestAt;
-    this.#finalAnswersAt = signal.earliestAt + signal.graceMs - EXIT_MARGIN_MS;
+    this.#startedAt = signal.earliestSignalAt;
+    this.#finalAnswersAt = signal.earliestSignalAt + signal.graceMs - EXIT_MARGIN_MS;
     this.#exitAt = signal.heardAt + signal.graceMs - EXIT_MARGIN_MS;
-    this.#checkedAt = signal.earliestAt;
+    this.#checkedAt = signal.earliestSignalAt;
   }
 
   /**
