--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -288,7 +288,7 @@
     const earliestAt = this.#loopWatch.signalledFrom();
     const plannedStop = new serving.GracefulShutdown({
       earliestSignalAt: earliestAt,
-      heardAt,
+      receivedAt: heardAt,
       graceMs: this.#settings.stopGraceMs,
     });
     const heardLateMs = Math.round(heardAt - earliestAt);
--- a/packages/gateway/tests/helpers/stopModel.ts
+++ b/packages/gateway/tests/helpers/stopModel.ts
@@ -176,7 +176,11 @@
   #hearSignal(): void {
     if (this.#now < 0 || this.#stop !== undefined) return;
     const earliestAt = this.#watch.signalledFrom();
-    this.#stop = new serving.GracefulShutdown({ earliestSignalAt: earliestAt, heardAt: this.#now, graceMs: GRACE_MS });
+    this.#stop = new serving.GracefulShutdown({
+      earliestSignalAt: earliestAt,
+      receivedAt: this.#now,
+      graceMs: GRACE_MS,
+    });
   }
 
   #runTimers(): void {
--- a/packages/serving/src/gracefulShutdown.ts
+++ b/packages/serving/src/gracefulShutdown.ts
@@ -68,7 +68,7 @@
   /** Earliest instant at which the signal may have been sent, in milliseconds: before a pause of the process, if any. */
   readonly earliestSignalAt: number;
   /** Instant at which the signal was received, in milliseconds. */
-  readonly heardAt: number;
+  readonly receivedAt: number;
   /** Time from the signal until the process is killed, in milliseconds. */
   readonly graceMs: number;
 }
@@ -99,7 +99,7 @@
   constructor(signal: ShutdownSignal) {
     this.#startedAt = signal.earliestSignalAt;
     this.#finalAnswersAt = signal.earliestSignalAt + signal.graceMs - EXIT_MARGIN_MS;
-    this.#exitAt = signal.heardAt + signal.graceMs - EXIT_MARGIN_MS;
+    this.#exitAt = signal.receivedAt + signal.graceMs - EXIT_MARGIN_MS;
     this.#checkedAt = signal.earliestSignalAt;
   }
 
--- a/packages/serving/tests/gracefulShutdown.test.ts
+++ b/packages/serving/tests/gracefulShutdown.test.ts
@@ -9,7 +9,7 @@
 const KILLED_AT_MS = GRACE_MS;
 
 function shutdownAt(heardAt: number, graceMs = GRACE_MS, earliestAt = heardAt): serving.GracefulShutdown {
-  return new serving.GracefulShutdown({ earliestSignalAt: earliestAt, heardAt, graceMs });
+  return new serving.GracefulShutdown({ earliestSignalAt: earliestAt, receivedAt: heardAt, graceMs });
 }
 
 const suite = uvu.suite("graceful shutdown");
