--- a/packages/serving/src/endpointDirectory.ts
+++ b/packages/serving/src/endpointDirectory.ts
@@ -36,7 +36,7 @@
   Returned = "returned",
   /** The endpoint has restarted under its id, and has lost the state of its previous incarnation. */
   Restarted = "restarted",
-  /** The entry was written by something else, and does not describe a usable endpoint. */
+  /** The entry was written by another writer, and does not describe a usable endpoint. */
   SetAside = "set-aside",
 }
 
@@ -107,7 +107,7 @@
     const isNewer = this.#incarnations.isNewer(id, bornAt);
     if (!isNewer && known !== undefined && known.revision >= revision) return undefined;
     const formerBornAt = this.#incarnations.bornAtOf(id);
-    // An endpoint that has stated its start always states it: an entry without one was written by something else.
+    // An endpoint that has stated its start always states it: an entry without one was written by another writer.
     if (bornAt === undefined && formerBornAt !== undefined) return this.setAside(id, revision);
     const isFirstStart = bornAt !== undefined && formerBornAt === undefined && known !== undefined;
     const change = this.#changeOf(endpoint, known?.endpoint, isNewer || isFirstStart);
@@ -119,7 +119,7 @@
 
   /**
    * Notes that the entry of an endpoint is unusable: bytes that can't be parsed,
-   * or fields that are missing or have another type. Something else has written
+   * or fields that are missing or have another type. Another writer has written
    * it and has overwritten the entry before, which must not be used any more:
    * callers would be sent to an endpoint that is no longer registered. The next
    * usable entry brings the endpoint back, so a single faulty write does little harm.
--- a/packages/serving/src/endpointIncarnations.ts
+++ b/packages/serving/src/endpointIncarnations.ts
@@ -16,7 +16,7 @@
  */
 export class EndpointIncarnations {
   readonly #newest = new Map<string, number>();
-  /** Revisions up to which no entry of an id counts: it was removed, or overwritten by something else. */
+  /** Revisions up to which no entry of an id counts: it was removed, or overwritten by another writer. */
   readonly #voidUpTo = new Map<string, number>();
   readonly #leavings = new Map<string, Leaving>();
 
--- a/packages/serving/tests/endpointIncarnations.test.ts
+++ b/packages/serving/tests/endpointIncarnations.test.ts
@@ -87,7 +87,7 @@
   );
 });
 
-// Something else writes the entry of an id, or the store removes it when a lease ends. The highest revision decides.
+// Another writer writes the entry of an id, or the store removes it when a lease ends. The highest revision decides.
 suite("removals and foreign entries count by their revision in any order", () => {
   fastCheck.assert(
     fastCheck.property(updatesInAnyOrder(Object.values(Kind), 1), ([updates, order]) => {
--- a/packages/serving/tests/gracefulShutdown.test.ts
+++ b/packages/serving/tests/gracefulShutdown.test.ts
@@ -8,8 +8,8 @@
 /** Time after the signal at which the process is killed, in milliseconds. */
 const KILLED_AT_MS = GRACE_MS;
 
-function shutdownAt(heardAt: number, graceMs = GRACE_MS, earliestAt = heardAt): serving.GracefulShutdown {
-  return new serving.GracefulShutdown({ earliestSignalAt: earliestAt, receivedAt: heardAt, graceMs });
+function shutdownAt(receivedAt: number, graceMs = GRACE_MS, earliestSignalAt = receivedAt): serving.GracefulShutdown {
+  return new serving.GracefulShutdown({ earliestSignalAt, receivedAt, graceMs });
 }
 
 const suite = uvu.suite("graceful shutdown");
