--- a/packages/experiment/src/emulatedDaemon.ts
+++ b/packages/experiment/src/emulatedDaemon.ts
@@ -65,7 +65,13 @@
         const pairs = (unreadTokens * (cachedTokens + unreadTokens / 2)) / 1e6;
         const readMs = unreadTokens / engines.tokensPerMs + pairs * engines.pairsMsPerMillion;
         const tookMs = engines.fixedMs + readMs * multiple + 2 * WAY_MS;
-        this.speeds.learnPrefill(role, { unreadTokens, cachedTokens, tokensWaiting: 0, streams: 0, tookMs });
+        this.speeds.learnPrefill(role, {
+          unreadTokens,
+          cachedTokens,
+          tokensWaiting: 0,
+          streams: 0,
+          tookMs,
+        });
       }
     }
     for (let index = 0; index < TAUGHT_PROMPTS; index++) {
@@ -177,7 +183,7 @@
   }
 
   #learnRead(plan: serving.EnginePlan, endpoint: serving.Endpoint, prompt: serving.Prompt, tookMs: number): void {
-    this.#health.recordTime(endpoint.id, plan.predictedMs, tookMs);
+    this.#health.recordLatency(endpoint.id, plan.predictedMs, tookMs);
     if (plan.copySource !== undefined) return;
     this.speeds.learnLocalPrefill(endpoint.role, {
       unreadTokens: plan.unreadTokens,
--- a/packages/gateway/src/beliefs.ts
+++ b/packages/gateway/src/beliefs.ts
@@ -29,7 +29,7 @@
   readonly view: fleetViews.FleetView;
   readonly log: decisionLogs.DecisionLog;
   /** Called for each change of a belief about an endpoint. */
-  readonly onEndpoint: (news: serving.EndpointNews) => void;
+  readonly onEndpoint: (news: serving.EndpointUpdate) => void;
   /** Called when an engine's role was changed, with its service, its role, and how long ago that was, in milliseconds. */
   readonly onRoleChange: (service: string, role: serving.EngineRole, agoMs: number) => void;
   /** Takes what the key-value service keeps of a request that is rejected. */
@@ -67,7 +67,7 @@
       if (item.key.startsWith(layout.daemonPrefix)) daemons.add(item.key);
       this.#takeItem(item);
     }
-    const changes = view.directory.replace(endpoints, listing.revision, performance.now());
+    const changes = view.directory.applyListing(endpoints, listing.revision, performance.now());
     for (const { key, value, revision } of documents) {
       this.#keepDocument(key.slice(layout.endpointPrefix.length), value, revision);
     }
@@ -85,7 +85,7 @@
     if (event.key.startsWith(layout.daemonPrefix)) this.#removeDaemon(event.key);
     if (!event.key.startsWith(layout.endpointPrefix)) return;
     // A removal just after the service's return may be a lapse of the outage; the listing that follows tells.
-    if (view.directory.lapsesDoubted(performance.now())) return;
+    if (view.directory.isReregistrationGraceActive(performance.now())) return;
     const departure = { revision: event.revision, bornAt: undefined, setAside: false };
     this.takeDeparture(event.key.slice(layout.endpointPrefix.length), departure, Source.Store);
   }
@@ -148,7 +148,7 @@
   takeMisdirected(endpoint: serving.Endpoint, answeredBy: string | undefined): void {
     const { directory } = this.#parts.view;
     const replaced = answeredBy !== undefined && answeredBy !== endpoint.id;
-    const news = replaced ? directory.replaced(endpoint) : directory.declinedRole(endpoint);
+    const news = replaced ? directory.markReplaced(endpoint) : directory.markRoleDeclined(endpoint);
     if (news !== undefined) this.#tell(news, Source.Endpoint);
   }
 
@@ -242,7 +242,7 @@
     this.#parts.log.info("daemon-left", { daemon: entry.vm });
   }
 
-  #tell(news: serving.EndpointNews, source: Source, fault = "it doesn't say when the endpoint started"): void {
+  #tell(news: serving.EndpointUpdate, source: Source, fault = "it doesn't say when the endpoint started"): void {
     const { id, endpoint, change, revision, formerBornAt } = news;
     if (change === serving.EndpointChange.SetAside) {
       const service = endpoint?.service;
--- a/packages/gateway/src/callerListener.ts
+++ b/packages/gateway/src/callerListener.ts
@@ -60,7 +60,7 @@
   readonly #longWaiting = new WeakSet<stream.Duplex>();
   /** Instant of the last request of each connection, in milliseconds. */
   readonly #readAt = new WeakMap<stream.Duplex, number>();
-  #plannedStop: serving.PlannedStop | undefined;
+  #plannedStop: serving.GracefulShutdown | undefined;
   #doorClosed = false;
   #open = 0;
   #lastRequestAt = 0;
@@ -122,17 +122,17 @@
    *
    * @param plannedStop - what is still taken
    */
-  beginStop(plannedStop: serving.PlannedStop): void {
+  beginStop(plannedStop: serving.GracefulShutdown): void {
     this.#plannedStop = plannedStop;
   }
 
   /** @returns whether no connection is taken any more */
-  get doorIsClosed(): boolean {
+  get hasStoppedAccepting(): boolean {
     return this.#doorClosed;
   }
 
   /** From now on no connection is taken. */
-  closeDoor(): void {
+  stopAccepting(): void {
     if (this.#doorClosed) return;
     this.#doorClosed = true;
     this.#context.log.info("refusing", { open: this.#open });
@@ -144,13 +144,13 @@
    * There is no time left to run anything: what has not left for an endpoint is told so, and never leaves. So is what
    * is still being read; its connection would break without a word when the process ends.
    */
-  endUnsent(): void {
+  endUnsentRequests(): void {
     for (const answer of this.#unread) this.#refuseStopping(answer);
     for (const exchange of [...this.#taken]) if (exchange.isUnsent) exchange.endNow(ENDED_BY_STOP);
   }
 
   /** There is no time left for an answer to begin: each request without one gets its true final answer. */
-  endUnbegun(): void {
+  endUnstartedResponses(): void {
     for (const exchange of [...this.#taken]) if (!exchange.answerHasBegun) exchange.endNow(ENDED_BY_STOP);
   }
 
--- a/packages/gateway/src/endpointLessons.ts
+++ b/packages/gateway/src/endpointLessons.ts
@@ -25,9 +25,9 @@
    */
   judge(active: activeSends.ActiveSend, result: serving.SendResult): void {
     if (!this.#isOfThisLife(active)) return;
-    const changed = this.#context.health.record(active.endpoint.id, result, performance.now());
+    const changed = this.#context.health.recordResult(active.endpoint.id, result, performance.now());
     if (!changed) return;
-    const bad = this.#context.health.isBad(active.endpoint.id);
+    const bad = this.#context.health.isUnhealthy(active.endpoint.id);
     this.#context.log.warn(bad ? "endpoint-bad" : "endpoint-good", { endpoint: active.endpoint.id, result });
   }
 
@@ -38,7 +38,7 @@
     const tookMs = now - active.sentAt;
     this.#noteRead(active);
     this.#learnReading(active, tookMs, now);
-    this.#context.health.recordTime(active.endpoint.id, active.predictedMs, tookMs);
+    this.#context.health.recordLatency(active.endpoint.id, active.predictedMs, tookMs);
     this.#context.log.info("prompt-read", {
       id: this.#served.id,
       endpoint: active.endpoint.id,
@@ -113,6 +113,6 @@
   }
 
   #isOfThisLife(active: activeSends.ActiveSend): boolean {
-    return this.#context.view.directory.isSameLife(active.endpoint);
+    return this.#context.view.directory.isSameIncarnation(active.endpoint);
   }
 }
--- a/packages/gateway/src/peerLink.ts
+++ b/packages/gateway/src/peerLink.ts
@@ -166,7 +166,7 @@
   }
 
   #followFleetSize({ often }: audiences.Audience): number {
-    const intervalMs = this.#deciding ? serving.pulseIntervalMs(often.length) : STANDBY_LOOK_MS;
+    const intervalMs = this.#deciding ? serving.heartbeatIntervalMs(often.length) : STANDBY_LOOK_MS;
     this.book.followInterval(intervalMs);
     return intervalMs;
   }
@@ -177,10 +177,15 @@
   }
 
   #audience(now: number): audiences.Audience {
-    const named = new Set(this.book.live(now).flatMap((peer) => peer.names));
+    const named = new Set(this.book.live(now).flatMap((peer) => peer.activeVms));
     const known = this.#others().map((entry) => {
       const heard = this.book.heard(entry.vm, now);
-      return { entry, live: heard !== undefined, deciding: heard?.deciding ?? false, named: named.has(entry.vm) };
+      return {
+        entry,
+        live: heard !== undefined,
+        deciding: heard?.deciding ?? false,
+        named: named.has(entry.vm),
+      };
     });
     const { dataCentre } = this.#parts.entry;
     const own = { dataCentre, deciding: this.#deciding, host: this.standing.host };
@@ -214,9 +219,13 @@
     if (due.often) {
       this.#saidAt.often = now;
       this.#saidWork = this.#workText();
-      const nextMs = Math.max(QUIET_PULSE_MS, serving.pulseIntervalMs(audience.often.length));
+      const nextMs = Math.max(QUIET_PULSE_MS, serving.heartbeatIntervalMs(audience.often.length));
       const nextWithinMs = peerWorks.wholeNumber(nextMs);
-      const pulse = protobuf.create(messages.PulseSchema, { ...state, ...this.#work.tell(now), nextWithinMs });
+      const pulse = protobuf.create(messages.PulseSchema, {
+        ...state,
+        ...this.#work.tell(now),
+        nextWithinMs,
+      });
       this.#pulse.say(
         pulse,
         audience.often.map(({ peers }) => peers),
@@ -247,7 +256,7 @@
       followsClosely: this.#parts.followsClosely(),
       entries: this.#changes.entries(now),
       suspects: this.#parts.suspects.recordsToPublish(now).map(suspectCodec.toMessage),
-      tryingSuspect: this.#parts.suspects.isTrying,
+      tryingSuspect: this.#parts.suspects.isRunningTrial,
       changing: [...view.changing]
         .filter(([, change]) => change.until > now)
         .map(([endpoint, change]) => ({
@@ -265,7 +274,15 @@
     const stays = pulse.ready || pulse.configurationRevision === 0n;
     const { vm, incarnation, dataCentre, callers } = pulse;
     const capacity = capacityOf(pulse);
-    if (stays) this.#parts.onDaemon({ vm, incarnation, dataCentre, callers, peers: sender, capacity });
+    if (stays)
+      this.#parts.onDaemon({
+        vm,
+        incarnation,
+        dataCentre,
+        callers,
+        peers: sender,
+        capacity,
+      });
     const before = this.book.hear({
       vm,
       incarnation,
@@ -274,7 +291,7 @@
       busyCores: pulse.busyThousandths / THOUSANDTHS,
       active: pulse.active,
       deciding: pulse.active || pulse.work.length > 0,
-      names: pulse.activeVms,
+      activeVms: pulse.activeVms,
       nextWithinMs: pulse.nextWithinMs,
       ready: pulse.ready,
       configurationRevision: Number(pulse.configurationRevision),
@@ -344,7 +361,7 @@
       endpoints: needsList ? this.#allEntries() : [],
       departures: this.#changes.departures(now),
       daemons: peer.configurationRevision === 0 ? this.#liveDaemons(now) : [],
-      suspects: this.#parts.suspects.lastingRecords(now).map(suspectCodec.toMessage),
+      suspects: this.#parts.suspects.snapshotRecords(now).map(suspectCodec.toMessage),
     };
   }
 
@@ -376,7 +393,14 @@
     const others = news.daemons.filter((daemon) => daemon.vm !== this.#parts.entry.vm);
     for (const daemon of others) {
       const { vm, incarnation, dataCentre, callers, peers } = daemon;
-      this.#parts.onDaemon({ vm, incarnation, dataCentre, callers, peers, capacity: capacityOf(daemon) });
+      this.#parts.onDaemon({
+        vm,
+        incarnation,
+        dataCentre,
+        callers,
+        peers,
+        capacity: capacityOf(daemon),
+      });
     }
     return this.#parts.view.configurationRevision;
   }
--- a/packages/gateway/src/peers/standing.ts
+++ b/packages/gateway/src/peers/standing.ts
@@ -33,7 +33,7 @@
 
   /** @returns whether this daemon speaks to those of its data centre that stand by */
   get host(): boolean {
-    return serving.isHost(this.#parts.entry.vm, this.#names);
+    return serving.isStandbyContact(this.#parts.entry.vm, this.#names);
   }
 
   /** @returns VMs of this data centre that callers are sent to, the most able first */
@@ -67,10 +67,10 @@
     return true;
   }
 
-  #own(): serving.Candidate | undefined {
+  #own(): serving.ActiveSetCandidate | undefined {
     const { entry, ready, busyCores } = this.#parts;
     if (!ready()) return undefined;
     const { vm, capacity } = entry;
-    return { vm, capacity, busyCores: busyCores(), active: this.#active, names: this.#names };
+    return { vm, capacity, busyCores: busyCores(), active: this.#active, activeVms: this.#names };
   }
 }
--- a/packages/gateway/src/roleChanger.ts
+++ b/packages/gateway/src/roleChanger.ts
@@ -93,7 +93,7 @@
   #decide(service: string, limits: serving.EngineLimits): serving.RoleChange | undefined {
     const { board, demand, speeds, view } = this.#parts.context;
     const now = performance.now();
-    const engines = view.directory.serving(service).map((engine) => ({
+    const engines = view.directory.availableEndpoints(service).map((engine) => ({
       id: engine.id,
       role: view.roleToCome(engine, now),
       running: board.runningRequests(engine.id, now),
@@ -142,7 +142,7 @@
 
   async #carryOut(service: string, change: serving.RoleChange): Promise<void> {
     const { context, authority } = this.#parts;
-    const engine = context.view.directory.serving(service).find((each) => each.id === change.endpointId);
+    const engine = context.view.directory.availableEndpoints(service).find((each) => each.id === change.endpointId);
     if (engine === undefined) return;
     this.#balance(service).putOff();
     const asked = await this.#calls.askState(engine);
@@ -155,7 +155,12 @@
     // Between question and order the authority may have ended; the last look is right before sending.
     const token = authority.token();
     if (token === undefined) return;
-    const order = { role: change.role, holder: context.settings.vm, token, expectedOrders: state.value.ordersAccepted };
+    const order = {
+      role: change.role,
+      holder: context.settings.vm,
+      token,
+      expectedOrders: state.value.ordersAccepted,
+    };
     if (!(await this.#give(engine, change, order))) return;
     this.changed(service, change.role, 0);
     await this.#tellChange(service, engine.id, change.role);
@@ -227,7 +232,7 @@
     const { directory } = this.#parts.context.view;
     const { bornAt } = state;
     const otherLife = bornAt !== undefined && engine.bornAt !== undefined && bornAt !== engine.bornAt;
-    return otherLife || !directory.isSameLife(engine);
+    return otherLife || !directory.isSameIncarnation(engine);
   }
 
   #putOff(engine: serving.Endpoint, reason: string): void {
--- a/packages/gateway/src/sendChooser.ts
+++ b/packages/gateway/src/sendChooser.ts
@@ -82,13 +82,13 @@
     const daemons = this.#context.liveDaemons();
     const now = performance.now();
     const open = view.directory
-      .serving(this.#served.service)
+      .availableEndpoints(this.#served.service)
       .filter((endpoint) => !this.#served.wasTried(endpoint.id) && !view.isChanging(endpoint, now))
       .filter((endpoint) =>
         client.hasRoom(endpoint.id, definition?.maxConnections ?? Number.MAX_SAFE_INTEGER, daemons),
       );
-    const trials = serving.mayRepeat(this.#served.route);
-    return health.usable(open, trials, now);
+    const trials = serving.mayRetry(this.#served.route);
+    return health.selectUsable(open, trials, now);
   }
 
   #choosePlain(definition: serving.Service | undefined): Choice {
--- a/packages/gateway/src/servedRequest.ts
+++ b/packages/gateway/src/servedRequest.ts
@@ -166,19 +166,19 @@
    * @param fate - what became of a send that gave no answer to pass on
    * @returns what follows
    */
-  decide(fate: serving.SendFate): serving.NextStep {
+  decide(fate: serving.SendOutcome): serving.NextStep {
     const { view, budgets } = this.#context;
-    const others = view.directory.serving(this.#service).some((endpoint) => !this.#tried.has(endpoint.id));
+    const others = view.directory.availableEndpoints(this.#service).some((endpoint) => !this.#tried.has(endpoint.id));
     return serving.nextStep({
-      fate,
+      outcome: fate,
       mayHaveRun: this.#mayHaveRun,
       requestClass: this.#route.requestClass,
       resumable: this.#route.resumable,
       sends: this.#sends,
       attempts: this.#mayBeSentAgain ? this.#route.attempts : 0,
       remainingMs: this.remainingMs,
-      otherEndpoint: others,
-      spendRepeat: () => budgets.of(this.#service).spend(performance.now(), this.#context.liveDaemons()),
+      hasOtherEndpoint: others,
+      spendRetry: () => budgets.of(this.#service).spend(performance.now(), this.#context.liveDaemons()),
     });
   }
 }
--- a/packages/gateway/tests/helpers/stopModel.ts
+++ b/packages/gateway/tests/helpers/stopModel.ts
@@ -88,7 +88,7 @@
   readonly #watch: loopWatches.LoopWatch;
   #now: number;
   #tracedAt: number;
-  #stop: serving.PlannedStop | undefined;
+  #stop: serving.GracefulShutdown | undefined;
   #state = State.Coming;
   #outcome = Outcome.NotConnected;
   #arrivedAt = 0;
@@ -98,7 +98,7 @@
   #acceptedWhileStopping = false;
   #deadlineDue = false;
   #isOver = false;
-  doorIsClosed = false;
+  hasStoppedAccepting = false;
   #closedAt = Infinity;
   lastRequestAt = -Infinity;
 
@@ -115,17 +115,17 @@
     return Number(isOpen) + Number(this.#scenario.isBusy);
   }
 
-  closeDoor(): void {
-    if (this.doorIsClosed) return;
-    this.doorIsClosed = true;
+  stopAccepting(): void {
+    if (this.hasStoppedAccepting) return;
+    this.hasStoppedAccepting = true;
     this.#closedAt = this.#now;
   }
 
-  endUnsent(): void {
+  endUnsentRequests(): void {
     if (this.#state === State.ReadingBody || this.#state === State.Accepted) this.#end(Outcome.Rejected);
   }
 
-  endUnbegun(): void {
+  endUnstartedResponses(): void {
     if (this.#state === State.Running && !this.#hasBegun) this.#end(Outcome.Failed);
   }
 
@@ -176,7 +176,11 @@
   #hearSignal(): void {
     if (this.#now < 0 || this.#stop !== undefined) return;
     const earliestAt = this.#watch.signalledFrom();
-    this.#stop = new serving.PlannedStop({ earliestAt, heardAt: this.#now, graceMs: GRACE_MS });
+    this.#stop = new serving.GracefulShutdown({
+      earliestSignalAt: earliestAt,
+      receivedAt: this.#now,
+      graceMs: GRACE_MS,
+    });
   }
 
   #runTimers(): void {
@@ -224,8 +228,8 @@
   }
 
   #endOpen(): void {
-    this.endUnsent();
-    this.endUnbegun();
+    this.endUnsentRequests();
+    this.endUnstartedResponses();
     if (this.#state === State.Running) this.#end(Outcome.Cut);
   }
 
--- a/packages/serving/src/index.ts
+++ b/packages/serving/src/index.ts
@@ -1,4 +1,4 @@
-/** Decisions of serving, without input or output: routes, endpoints, placement, repeats. */
+/** Decisions of request serving, without input or output: routes, endpoints, placement, retries. */
 export * from "./activeSet.js";
 export * from "./admission.js";
 export * from "./configuration.js";
@@ -6,17 +6,17 @@
 export * from "./demand.js";
 export * from "./endpointDirectory.js";
 export * from "./endpointHealth.js";
-export * from "./endpointLives.js";
+export * from "./endpointIncarnations.js";
 export * from "./engineLoadTracker.js";
 export * from "./engineSpeeds.js";
-export * from "./finalAnswer.js";
+export * from "./retryDecision.js";
 export * from "./leastBusy.js";
 export * from "./linearEstimate.js";
 export * from "./placement.js";
-export * from "./plannedStop.js";
+export * from "./gracefulShutdown.js";
 export * from "./promptAdmission.js";
 export * from "./promptParts.js";
-export * from "./pulseInterval.js";
+export * from "./heartbeatInterval.js";
 export * from "./requestFingerprint.js";
 export * from "./retryBudget.js";
 export * from "./roleBalance.js";
