--- a/packages/gateway/src/exchange.ts
+++ b/packages/gateway/src/exchange.ts
@@ -82,7 +82,7 @@
    */
   endNow(reason: string): void {
     if (this.#end.over) return;
-    if (this.#mayHaveRun()) this.#end.give(BAD_GATEWAY, reason, "the request may have run and its answer is lost");
+    if (this.#mayHaveRun()) this.#end.fail(BAD_GATEWAY, reason, "the request may have run and its answer is lost");
     else this.#end.reject(reason);
   }
 
--- a/packages/gateway/src/requestEnd.ts
+++ b/packages/gateway/src/requestEnd.ts
@@ -93,13 +93,13 @@
    */
   reject(reason: string, returnAfterMs?: number): void {
     if (this.#served.mayHaveRun) {
-      this.give(BAD_GATEWAY, reason, "the request may have run and can't be sent again");
+      this.fail(BAD_GATEWAY, reason, "the request may have run and can't be sent again");
       return;
     }
     const spread = RETURN_AFTER_MS.most - RETURN_AFTER_MS.least;
     const afterMs = returnAfterMs ?? RETURN_AFTER_MS.least + this.#context.random.next() * spread;
     const seconds = (afterMs / MS_PER_SECOND).toFixed(3);
-    this.give(UNAVAILABLE, reason, "the request has not run; come back after Retry-After", [
+    this.fail(UNAVAILABLE, reason, "the request has not run; come back after Retry-After", [
       this.#context.format.retryAfterHeader,
       seconds,
     ]);
@@ -111,7 +111,7 @@
    * @param mayHaveRun - whether a send may have run the request
    */
   timeUp(mayHaveRun: boolean): void {
-    if (mayHaveRun) this.give(GATEWAY_TIMEOUT, TIMED_OUT, "the time is up; the request may have run");
+    if (mayHaveRun) this.fail(GATEWAY_TIMEOUT, TIMED_OUT, "the time is up; the request may have run");
     else this.reject(TIMED_OUT);
   }
 
@@ -123,7 +123,7 @@
    * @param detail - what happened and what to do, for people
    * @param headers - names and values by turns
    */
-  give(status: number, reason: string, detail: string, headers: readonly string[] = []): void {
+  fail(status: number, reason: string, detail: string, headers: readonly string[] = []): void {
     if (this.#over) return;
     if (this.#answer.state === callerAnswers.AnswerState.Streaming) this.#answer.breakOff();
     else this.#answer.refuse(status, detail, headers);
--- a/packages/gateway/src/sendCourse.ts
+++ b/packages/gateway/src/sendCourse.ts
@@ -56,7 +56,7 @@
       return;
     }
     if (!served.followConfiguration()) {
-      end.give(NOT_FOUND, "route-removed", "no route leads there any more");
+      end.fail(NOT_FOUND, "route-removed", "no route leads there any more");
       return;
     }
     const lostReader = memory.dropLost();
@@ -105,8 +105,8 @@
     });
     if (step === serving.NextStep.SendAgain) this.sendNext();
     else if (step === serving.NextStep.Reject) end.reject(`send-${fate}`);
-    else if (step === serving.NextStep.TimedOut) end.give(GATEWAY_TIMEOUT, "timed-out", "the time is up");
-    else end.give(BAD_GATEWAY, "endpoint-failed", "the request may have run and its answer is lost");
+    else if (step === serving.NextStep.TimedOut) end.fail(GATEWAY_TIMEOUT, "timed-out", "the time is up");
+    else end.fail(BAD_GATEWAY, "endpoint-failed", "the request may have run and its answer is lost");
   }
 
   /** {@inheritDoc exchangeParts.SendResults.broken} */
