--- a/packages/gateway/src/exchange.ts
+++ b/packages/gateway/src/exchange.ts
@@ -91,7 +91,7 @@
     const { active } = this.#course;
     const ran = this.#mayHaveRun();
     if (active !== undefined) this.#lessons.judge(active, serving.SendResult.Silent);
-    this.#end.timeUp(ran);
+    this.#end.timeOut(ran);
   }
 
   /** @returns whether a send may have run the request, the one under way included */
--- a/packages/gateway/src/requestEnd.ts
+++ b/packages/gateway/src/requestEnd.ts
@@ -110,7 +110,7 @@
    *
    * @param mayHaveRun - whether a send may have run the request
    */
-  timeUp(mayHaveRun: boolean): void {
+  timeOut(mayHaveRun: boolean): void {
     if (mayHaveRun) this.fail(GATEWAY_TIMEOUT, TIMED_OUT, "the time is up; the request may have run");
     else this.reject(TIMED_OUT);
   }
--- a/packages/gateway/src/sendCourse.ts
+++ b/packages/gateway/src/sendCourse.ts
@@ -52,7 +52,7 @@
     // A loop that has fallen behind hears an endpoint before the deadline's own timer: sent on, the request would run
     // for a caller that has gone.
     if (served.remainingMs <= 0) {
-      end.timeUp(served.mayHaveRun);
+      end.timeOut(served.mayHaveRun);
       return;
     }
     if (!served.followConfiguration()) {
