--- a/packages/gateway/src/exchangeParts.ts
+++ b/packages/gateway/src/exchangeParts.ts
@@ -18,7 +18,7 @@
 }
 
 /** Takes what came of a send. */
-export interface SendResults {
+export interface SendResultHandler {
   /**
    * The send is over; nothing more is taken from it.
    *
@@ -47,5 +47,5 @@
 /** A send and all that the receiver of its answer needs. */
 export interface AnsweredSend extends ExchangeParts {
   readonly active: activeSends.ActiveSend;
-  readonly results: SendResults;
+  readonly results: SendResultHandler;
 }
