--- a/packages/gateway/src/sendCourse.ts
+++ b/packages/gateway/src/sendCourse.ts
@@ -161,7 +161,7 @@
     const remainingMs = Math.floor(served.remainingMs);
     const active = new activeSends.ActiveSend(context, served, planned);
     this.#active = active;
-    served.noteTry(planned.endpoint.id);
+    served.markTried(planned.endpoint.id);
     if (planned.stage === sendChoosers.Stage.Answering) served.countSend();
     const urgency = planned.plan?.level ?? (this.#parts.memory.handedOver === undefined ? undefined : 0);
     const message = this.#message(planned, remainingMs, urgency);
--- a/packages/gateway/src/servedRequest.ts
+++ b/packages/gateway/src/servedRequest.ts
@@ -127,7 +127,7 @@
   }
 
   /** @param endpointId - the endpoint that the request is sent to; it isn't chosen again */
-  noteTry(endpointId: string): void {
+  markTried(endpointId: string): void {
     this.#tried.add(endpointId);
   }
 
