--- a/packages/gateway/src/promptReceiver.ts
+++ b/packages/gateway/src/promptReceiver.ts
@@ -41,7 +41,7 @@
       lessons.judge(active, serving.SendResult.Good);
       lessons.learnTime(active);
       memory.keep({ reader: active.endpoint, handle: handle.value.handle });
-      served.forgetTry(active.endpoint.id);
+      served.unmarkTried(active.endpoint.id);
       results.sendNext();
       return;
     }
--- a/packages/gateway/src/servedRequest.ts
+++ b/packages/gateway/src/servedRequest.ts
@@ -132,7 +132,7 @@
   }
 
   /** @param endpointId - an endpoint that may be chosen again */
-  forgetTry(endpointId: string): void {
+  unmarkTried(endpointId: string): void {
     this.#tried.delete(endpointId);
   }
 
