--- a/packages/gateway/src/answerBody.ts
+++ b/packages/gateway/src/answerBody.ts
@@ -56,7 +56,7 @@
     }
     if (failed) {
       served.noteMayHaveRun();
-      const step = served.decide(serving.SendFate.Unknown);
+      const step = served.decideNextStep(serving.SendFate.Unknown);
       if (step === serving.NextStep.SendAgain) {
         results.sendNext();
         return;
--- a/packages/gateway/src/sendCourse.ts
+++ b/packages/gateway/src/sendCourse.ts
@@ -92,7 +92,7 @@
     if (fate === serving.SendFate.Unknown) served.noteMayHaveRun();
     if (declined && active.stage === sendChoosers.Stage.Answering) memory.free();
     if (fate === serving.SendFate.Unknown) memory.noteTaken();
-    const step = served.decide(fate);
+    const step = served.decideNextStep(fate);
     context.log.info("send-failed", {
       id: served.id,
       endpoint: active.endpoint.id,
@@ -150,7 +150,7 @@
   #readAgain(reader: serving.Endpoint): void {
     const { context, end, served } = this.#parts;
     served.countSend();
-    const step = served.decide(serving.SendFate.Declined);
+    const step = served.decideNextStep(serving.SendFate.Declined);
     context.log.info("handle-lost", { id: served.id, endpoint: reader.id, step });
     if (step === serving.NextStep.SendAgain) this.sendNext();
     else end.reject("handle-lost");
@@ -218,7 +218,7 @@
     if (!reading && !serving.mayRepeat(served.route)) return;
     const fate = reading ? serving.SendFate.Declined : serving.SendFate.Unknown;
     if (reading) served.countSend();
-    const step = served.decide(fate);
+    const step = served.decideNextStep(fate);
     if (step !== serving.NextStep.SendAgain) {
       if (reading) served.uncountSend();
       return;
--- a/packages/gateway/src/servedRequest.ts
+++ b/packages/gateway/src/servedRequest.ts
@@ -166,7 +166,7 @@
    * @param fate - what became of a send that gave no answer to pass on
    * @returns what follows
    */
-  decide(fate: serving.SendFate): serving.NextStep {
+  decideNextStep(fate: serving.SendFate): serving.NextStep {
     const { view, budgets } = this.#context;
     const others = view.directory.serving(this.#service).some((endpoint) => !this.#tried.has(endpoint.id));
     return serving.nextStep({
