--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -311,7 +311,7 @@
    *
    * @param error - the fault
    */
-  noteFatal(error: Error): void {
+  logFatal(error: Error): void {
     this.#log.warn("daemon-failed", { detail: error.message, stack: error.stack });
   }
 
