--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -316,7 +316,7 @@
   }
 
   /** @param detail - which settings changed */
-  reloaded(detail: string): void {
+  logReload(detail: string): void {
     this.#log.info("reload", { detail });
   }
 
