--- a/packages/gateway/src/endpointLanes.ts
+++ b/packages/gateway/src/endpointLanes.ts
@@ -51,7 +51,7 @@
             else callback(null, socket);
           };
           // The request leaves with it. A late event loop may hear only after it that the caller has left meanwhile.
-          if (isLate()) new socketTurns.WaitingStep(goOn);
+          if (isLate()) new socketTurns.DeferredStep(goOn);
           else goOn();
         });
       },
--- a/packages/gateway/src/endpointSend.ts
+++ b/packages/gateway/src/endpointSend.ts
@@ -22,7 +22,7 @@
 export class EndpointSend implements sendings.Sending {
   readonly #parts: SendParts;
   readonly #lane: endpointLanes.Lane;
-  #waiting: socketTurns.WaitingStep | undefined;
+  #waiting: socketTurns.DeferredStep | undefined;
   #controller: undici.Dispatcher.DispatchController | undefined;
   #leftAt: number | undefined;
   #over = false;
@@ -42,7 +42,7 @@
     this.#lane = parts.lanes.take();
     const isForCaller = parts.request.sendBefore !== undefined;
     if (!isForCaller || !parts.isLate()) this.#dispatch();
-    else this.#waiting = new socketTurns.WaitingStep(() => this.#dispatch());
+    else this.#waiting = new socketTurns.DeferredStep(() => this.#dispatch());
   }
 
   /** {@inheritDoc sendings.Sending.hasLeft} */
--- a/packages/gateway/src/socketTurn.ts
+++ b/packages/gateway/src/socketTurn.ts
@@ -1,5 +1,5 @@
 /** A step that waits for the sockets' turn. */
-export class WaitingStep {
+export class DeferredStep {
   #timer: NodeJS.Immediate | undefined;
 
   /**
@@ -30,6 +30,6 @@
 /** @returns settles once all that lay in the sockets has been heard */
 export function passed(): Promise<void> {
   return new Promise((resolve) => {
-    new WaitingStep(resolve);
+    new DeferredStep(resolve);
   });
 }
