--- a/packages/gateway/src/endpointSend.ts
+++ b/packages/gateway/src/endpointSend.ts
@@ -63,7 +63,7 @@
   /** {@inheritDoc sendings.Sending.cancel} */
   cancel(): void {
     if (this.#over) return;
-    if (this.#waiting?.drop() === true) {
+    if (this.#waiting?.cancel() === true) {
       this.#over = true;
       this.#parts.lanes.giveBack(this.#lane, performance.now());
       return;
--- a/packages/gateway/src/socketTurn.ts
+++ b/packages/gateway/src/socketTurn.ts
@@ -19,7 +19,7 @@
   }
 
   /** @returns whether the step had not been taken; it never will be then */
-  drop(): boolean {
+  cancel(): boolean {
     if (this.#timer === undefined) return false;
     clearImmediate(this.#timer);
     this.#timer = undefined;
