--- a/packages/gateway/src/callerListener.ts
+++ b/packages/gateway/src/callerListener.ts
@@ -220,7 +220,7 @@
     this.#unread.add(answer);
     const body = await callerRequests.readBody(incoming, limits.bodyBytes);
     // What a caller sent before it left lies before its leaving: heard first, it would be sent for nobody.
-    if (this.#longWaiting.delete(incoming.socket)) await socketTurns.passed();
+    if (this.#longWaiting.delete(incoming.socket)) await socketTurns.handled();
     this.#unread.delete(answer);
     const { requestId: id } = request.headers;
     if (answer.state === callerAnswers.AnswerState.Ended) {
--- a/packages/gateway/src/socketTurn.ts
+++ b/packages/gateway/src/socketTurn.ts
@@ -28,7 +28,7 @@
 }
 
 /** @returns settles once all that lay in the sockets has been heard */
-export function passed(): Promise<void> {
+export function handled(): Promise<void> {
   return new Promise((resolve) => {
     new DeferredStep(resolve);
   });
