--- a/packages/gateway/src/callerListener.ts
+++ b/packages/gateway/src/callerListener.ts
@@ -2,13 +2,13 @@
 import * as net from "node:net";
 import type * as stream from "node:stream";
 import type * as serving from "@camphorcourse/serving";
-import * as acceptQueues from "./acceptQueue.js";
+import * as acceptQueues from "./acceptDelayEstimator.js";
 import * as callerAnswers from "./callerAnswer.js";
 import * as callerRequests from "./callerRequest.js";
 import type * as contexts from "./context.js";
 import * as exchanges from "./exchange.js";
 import type * as settingsModule from "./settings.js";
-import * as socketTurns from "./socketTurn.js";
+import * as pendingReads from "./pendingReads.js";
 
 /** Head size that the parser takes, in bytes; the configuration's own limit is checked after it. */
 const PARSER_HEADER_BYTES = 131_072;
@@ -220,7 +220,7 @@
     this.#unread.add(answer);
     const body = await callerRequests.readBody(incoming, limits.bodyBytes);
     // What a caller sent before it left lies before its leaving: heard first, it would be sent for nobody.
-    if (this.#longWaiting.delete(incoming.socket)) await socketTurns.handled();
+    if (this.#longWaiting.delete(incoming.socket)) await pendingReads.handled();
     this.#unread.delete(answer);
     const { requestId: id } = request.headers;
     if (answer.state === callerAnswers.AnswerState.Ended) {
--- a/packages/gateway/src/endpointLanes.ts
+++ b/packages/gateway/src/endpointLanes.ts
@@ -1,6 +1,6 @@
 import type * as net from "node:net";
 import * as undici from "undici";
-import * as socketTurns from "./socketTurn.js";
+import * as pendingReads from "./pendingReads.js";
 
 /** Time for a connection to an endpoint to be established, in milliseconds; a sound one takes a few. */
 const CONNECT_TIMEOUT_MS = 350;
@@ -51,7 +51,7 @@
             else callback(null, socket);
           };
           // The request leaves with it. A late event loop may hear only after it that the caller has left meanwhile.
-          if (isLate()) new socketTurns.DeferredStep(goOn);
+          if (isLate()) new pendingReads.DeferredStep(goOn);
           else goOn();
         });
       },
--- a/packages/gateway/src/endpointSend.ts
+++ b/packages/gateway/src/endpointSend.ts
@@ -2,7 +2,7 @@
 import type * as undici from "undici";
 import type * as sendings from "./sending.js";
 import type * as endpointLanes from "./endpointLanes.js";
-import * as socketTurns from "./socketTurn.js";
+import * as pendingReads from "./pendingReads.js";
 
 /** What one send works with. */
 export interface SendParts {
@@ -22,7 +22,7 @@
 export class EndpointSend implements sendings.Sending {
   readonly #parts: SendParts;
   readonly #lane: endpointLanes.Lane;
-  #waiting: socketTurns.DeferredStep | undefined;
+  #waiting: pendingReads.DeferredStep | undefined;
   #controller: undici.Dispatcher.DispatchController | undefined;
   #leftAt: number | undefined;
   #over = false;
@@ -42,7 +42,7 @@
     this.#lane = parts.lanes.take();
     const isForCaller = parts.request.sendBefore !== undefined;
     if (!isForCaller || !parts.isLate()) this.#dispatch();
-    else this.#waiting = new socketTurns.DeferredStep(() => this.#dispatch());
+    else this.#waiting = new pendingReads.DeferredStep(() => this.#dispatch());
   }
 
   /** {@inheritDoc sendings.Sending.hasLeft} */
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -4,7 +4,7 @@
 import * as serving from "@camphorcourse/serving";
 import type * as hono from "hono";
 import * as beliefsModule from "./beliefs.js";
-import * as busyShares from "./busyShare.js";
+import * as busyShares from "./loopUtilization.js";
 import * as callerListeners from "./callerListener.js";
 import * as contexts from "./context.js";
 import * as decisionLogs from "./decisionLog.js";
--- a/packages/gateway/tests/exchange.test.ts
+++ b/packages/gateway/tests/exchange.test.ts
@@ -1,7 +1,7 @@
 import * as serving from "@camphorcourse/serving";
 import * as uvu from "uvu";
 import * as assert from "uvu/assert";
-import * as stands from "./helpers/exchangeStand.js";
+import * as stands from "./helpers/exchangeHarness.js";
 
 const { Decode, None, Prefill } = serving.EngineRole;
 const { Idempotent, NonIdempotent, Stream } = serving.RequestClass;
