--- a/packages/gateway/src/acceptDelayEstimator.ts
+++ b/packages/gateway/src/acceptDelayEstimator.ts
@@ -1,33 +1,34 @@
 /**
- * Tells how long a connection may have waited to be accepted. The runtime accepts one in each turn of the event loop,
- * so where callers come together and turns are long, the last ones wait for seconds, and no turn is late.
+ * Estimates how long a connection may have waited for acceptance. Node accepts one connection per iteration of the event
+ * loop. When many callers connect at once and iterations are long, the last ones wait for seconds although no single
+ * iteration is late.
  */
-export class AcceptQueue {
-  /** Instant since which each turn has accepted a connection: before it, none was waiting. */
+export class AcceptDelayEstimator {
+  /** Instant since which each iteration has accepted a connection; no connection was waiting before it. */
   #busySince: number | undefined;
-  #acceptedInTurn = false;
+  #acceptedInIteration = false;
 
   /**
-   * A connection was accepted.
+   * Records that a connection was accepted.
    *
    * @param now - current instant in milliseconds
-   * @returns longest time that it may have waited, in milliseconds, beside the last turn
+   * @returns longest time that it may have waited, in milliseconds, not counting the previous iteration
    */
   noteAccepted(now: number): number {
-    this.#acceptedInTurn = true;
+    this.#acceptedInIteration = true;
     if (this.#busySince === undefined) {
       this.#busySince = now;
-      setImmediate(() => this.#endTurn());
+      setImmediate(() => this.#endIteration());
     }
     return now - this.#busySince;
   }
 
-  #endTurn(): void {
-    if (!this.#acceptedInTurn) {
+  #endIteration(): void {
+    if (!this.#acceptedInIteration) {
       this.#busySince = undefined;
       return;
     }
-    this.#acceptedInTurn = false;
-    setImmediate(() => this.#endTurn());
+    this.#acceptedInIteration = false;
+    setImmediate(() => this.#endIteration());
   }
 }
--- a/packages/gateway/src/answerBody.ts
+++ b/packages/gateway/src/answerBody.ts
@@ -13,23 +13,23 @@
   readonly headers: sendings.AnswerHeaders;
 }
 
-/** Takes the body of an endpoint's answer. */
+/** Handles the body of an endpoint's answer. */
 export interface AnswerBody {
   /** @param chunk - the next bytes */
   onData(chunk: Buffer): void;
-  /** The answer has come to its end, and its head says that it counts. */
+  /** Handles the end of an answer that was received completely and whose headers were accepted. */
   onEnd(): void;
 }
 
-/** A body that is passed on once it is whole. */
-export class WholeBody implements AnswerBody {
+/** A body that is buffered and forwarded once it is complete. */
+export class BufferedBody implements AnswerBody {
   readonly #send: exchangeParts.AnsweredSend;
   readonly #head: ReceivedHead;
   readonly #chunks: Buffer[] = [];
 
   /**
    * @param send - the send that is answered
-   * @param head - the answer's head
+   * @param head - status and headers of the answer
    */
   constructor(send: exchangeParts.AnsweredSend, head: ReceivedHead) {
     this.#send = send;
@@ -50,7 +50,7 @@
     const now = performance.now();
     lessons.judge(active, failed ? serving.SendResult.Failed : serving.SendResult.Good);
     if (answer.state === callerAnswers.AnswerState.Streaming) {
-      const detail = `status ${status} to a stream that goes on`;
+      const detail = `status ${status} to a resumed stream`;
       results.failed(active, serving.SendFate.Unknown, detail);
       return;
     }
@@ -62,11 +62,11 @@
         return;
       }
     }
-    end.pass(status, headers, Buffer.concat(this.#chunks), now);
+    end.forward(status, headers, Buffer.concat(this.#chunks), now);
   }
 }
 
-/** A body whose events are passed on one by one. */
+/** A body whose events are forwarded one by one. */
 export class StreamBody implements AnswerBody {
   readonly #send: exchangeParts.AnsweredSend;
   readonly #head: ReceivedHead;
@@ -74,7 +74,7 @@
 
   /**
    * @param send - the send that is answered
-   * @param head - the answer's head
+   * @param head - status and headers of the answer
    */
   constructor(send: exchangeParts.AnsweredSend, head: ReceivedHead) {
     this.#send = send;
@@ -89,7 +89,7 @@
   /** {@inheritDoc AnswerBody.onEnd} */
   onEnd(): void {
     const { active, end, lessons, results, served } = this.#send;
-    if (this.#splitter.unfinishedBytes > 0 || !served.progress.begun) {
+    if (this.#splitter.unfinishedBytes > 0 || !served.progress.hasBegun) {
       results.failed(active, serving.SendFate.Unknown, "the stream ended inside an event");
       return;
     }
@@ -103,10 +103,10 @@
     if (active.endRead()) lessons.learnTime(active);
     else if (active.noteBegun()) lessons.learnHandover(active);
     const now = performance.now();
-    if (!served.progress.begun) {
+    if (!served.progress.hasBegun) {
       context.metrics.record(metricsModule.Duration.FirstEvent, now - served.caller.arrivedAt);
     }
-    served.progress.note(event.id, now);
+    served.progress.recordEvent(event.id, now);
     served.noteMayHaveRun();
     memory.noteTaken();
     answer.beginStream(this.#head.status, this.#head.headers);
--- a/packages/gateway/src/answerReceiver.ts
+++ b/packages/gateway/src/answerReceiver.ts
@@ -6,7 +6,7 @@
 const HTTP_OK = 200;
 const CLIENT_ERRORS_FROM = 400;
 
-/** Takes an endpoint's answer to a request, and judges whether it is this request's and whole. */
+/** Receives an endpoint's answer to a request, and checks that it belongs to the request and is complete. */
 export class AnswerReceiver implements sendings.AnswerReceiver {
   readonly #send: exchangeParts.AnsweredSend;
   readonly #isStream: boolean;
@@ -28,7 +28,7 @@
     this.#status = status;
     this.#notRun = head.notRun;
     this.#sealed = head.sealed;
-    this.#body = this.#openBody(status, headers);
+    this.#body = this.#createBody(status, headers);
     if (head.misdirected) context.onMisdirected(active.endpoint, head.endpointId);
     if (head.requestId !== undefined) return head.requestId === served.id;
     return head.notRun || status >= CLIENT_ERRORS_FROM;
@@ -60,11 +60,11 @@
     else results.broken(active, fate, detail);
   }
 
-  #openBody(status: number, headers: sendings.AnswerHeaders): answerBodies.AnswerBody {
+  #createBody(status: number, headers: sendings.AnswerHeaders): answerBodies.AnswerBody {
     const head = { status, headers };
     if (this.#isStream && status === HTTP_OK) {
       return new answerBodies.StreamBody(this.#send, head);
     }
-    return new answerBodies.WholeBody(this.#send, head);
+    return new answerBodies.BufferedBody(this.#send, head);
   }
 }
--- a/packages/gateway/src/callerAnswer.ts
+++ b/packages/gateway/src/callerAnswer.ts
@@ -1,8 +1,8 @@
 import type * as http from "node:http";
 import type * as sendings from "./sending.js";
 
-/** Headers that concern one connection only, and those that are set anew here. */
-const NOT_PASSED_ON = new Set([
+/** Headers that are not forwarded: the hop-by-hop ones, and those that are set anew here. */
+const UNFORWARDED_HEADERS = new Set([
   "connection",
   "keep-alive",
   "proxy-authenticate",
@@ -15,10 +15,11 @@
   "date",
 ]);
 
-/** How a caller's request ended. */
+/** Progress of the answer to a caller. */
 export enum AnswerState {
+  /** Nothing has been sent. */
   Open = "open",
-  /** The head of a stream has been sent. */
+  /** Status and headers of a stream have been sent. */
   Streaming = "streaming",
   Ended = "ended",
 }
@@ -29,83 +30,85 @@
 /** The answer to one caller; it is ended once. */
 export class CallerAnswer {
   readonly #response: http.ServerResponse;
-  readonly #closing: () => boolean;
+  readonly #closesConnection: () => boolean;
   #state = AnswerState.Open;
 
   /**
-   * @param response - the caller's response
-   * @param closing - whether connections are to be closed after their answer
+   * @param response - the HTTP response to the caller
+   * @param closesConnection - whether the connection is to be closed after the answer
    */
-  constructor(response: http.ServerResponse, closing: () => boolean) {
+  constructor(response: http.ServerResponse, closesConnection: () => boolean) {
     this.#response = response;
-    this.#closing = closing;
+    this.#closesConnection = closesConnection;
   }
 
-  /** @returns how far the answer is */
+  /** @returns progress of the answer */
   get state(): AnswerState {
     return this.#state;
   }
 
   /**
-   * Passes an endpoint's whole answer on.
+   * Forwards the complete answer of an endpoint.
    *
-   * @param status - its status
-   * @param headers - its headers
-   * @param body - its whole body
+   * @param status - HTTP status
+   * @param headers - the endpoint's headers
+   * @param body - the complete body
    */
-  pass(status: number, headers: sendings.AnswerHeaders, body: Buffer): void {
+  forward(status: number, headers: sendings.AnswerHeaders, body: Buffer): void {
     if (this.#state !== AnswerState.Open) return;
     this.#state = AnswerState.Ended;
-    const passed = passedHeaders(headers);
-    if (!isFramed(headers)) this.#endByClosing();
-    else if (status !== NO_CONTENT && status !== NOT_MODIFIED) passed.push("content-length", String(body.length));
-    this.#writeHead(status, passed);
+    const forwarded = forwardedHeaders(headers);
+    if (!isFramed(headers)) this.#delimitByClose();
+    else if (status !== NO_CONTENT && status !== NOT_MODIFIED) forwarded.push("content-length", String(body.length));
+    this.#writeHead(status, forwarded);
     this.#response.end(body);
   }
 
   /**
-   * @param status - the stream's status
-   * @param headers - the stream's headers
+   * Sends status and headers of a stream, unless that has been done.
+   *
+   * @param status - HTTP status
+   * @param headers - the endpoint's headers
    */
   beginStream(status: number, headers: sendings.AnswerHeaders): void {
     if (this.#state !== AnswerState.Open) return;
     this.#state = AnswerState.Streaming;
-    if (!isFramed(headers)) this.#endByClosing();
-    this.#writeHead(status, passedHeaders(headers));
+    if (!isFramed(headers)) this.#delimitByClose();
+    this.#writeHead(status, forwardedHeaders(headers));
   }
 
   /**
-   * @param bytes - whole events
-   * @returns whether the caller keeps up
+   * @param bytes - complete events of the stream
+   * @returns false if the caller reads too slowly and the bytes are buffered here
    */
   write(bytes: Buffer): boolean {
     return this.#response.write(bytes);
   }
 
-  /** @param resume - called once the caller has read what was written */
+  /** @param resume - called once the buffered bytes have been sent to the caller */
   onDrain(resume: () => void): void {
     this.#response.once("drain", resume);
   }
 
-  /** The stream is complete. */
+  /** Ends the stream as complete. */
   endStream(): void {
     if (this.#state !== AnswerState.Streaming) return;
     this.#state = AnswerState.Ended;
     this.#response.end();
   }
 
-  /** Breaks the connection, so that half an answer can't be taken for a whole one. */
-  breakOff(): void {
+  /** Destroys the connection, so that a partial answer cannot be taken for a complete one. */
+  abort(): void {
     this.#state = AnswerState.Ended;
     this.#response.destroy();
   }
 
   /**
-   * A final answer of the daemon's own.
+   * Sends an error answer of the daemon itself.
    *
-   * @param status - its status
-   * @param detail - what happened and what to do, for people
-   * @param headers - names and values by turns
+   * @param status - HTTP status
+   * @param detail - text for people: what happened and what to do
+   * @param headers - alternating names and values
    */
   refuse(status: number, detail: string, headers: readonly string[] = []): void {
     if (this.#state !== AnswerState.Open) return;
@@ -116,30 +119,31 @@
   }
 
   /**
-   * An endpoint's answer without a length may have been cut where its connection
-   * closed, and nothing shows it. Passed on with a length it would look whole to
-   * the caller; passed on in the same framing, the caller knows as much as we do.
+   * Ends the body by closing the connection, as the endpoint did. A body without a length may have been truncated when
+   * the endpoint's connection closed, and nothing shows it. Forwarded with a length it would look complete to the caller;
+   * in the same framing the caller knows as much as this daemon.
    */
-  #endByClosing(): void {
+  #delimitByClose(): void {
     this.#response.useChunkedEncodingByDefault = false;
     this.#response.shouldKeepAlive = false;
   }
 
   #writeHead(status: number, headers: string[]): void {
-    if (this.#closing()) headers.push("connection", "close");
+    if (this.#closesConnection()) headers.push("connection", "close");
     this.#response.writeHead(status, headers);
   }
 }
 
-function passedHeaders(headers: sendings.AnswerHeaders): string[] {
-  const passed: string[] = [];
+function forwardedHeaders(headers: sendings.AnswerHeaders): string[] {
+  const forwarded: string[] = [];
   for (const [name, value] of Object.entries(headers)) {
-    if (value === undefined || NOT_PASSED_ON.has(name)) continue;
-    for (const each of Array.isArray(value) ? value : [value]) passed.push(name, each);
+    if (value === undefined || UNFORWARDED_HEADERS.has(name)) continue;
+    for (const each of Array.isArray(value) ? value : [value]) forwarded.push(name, each);
   }
-  return passed;
+  return forwarded;
 }
 
+/** @returns whether the headers delimit the body; otherwise it ends where the connection closes */
 function isFramed(headers: sendings.AnswerHeaders): boolean {
   return headers["content-length"] !== undefined || headers["transfer-encoding"] !== undefined;
 }
--- a/packages/gateway/src/callerListener.ts
+++ b/packages/gateway/src/callerListener.ts
@@ -2,37 +2,37 @@
 import * as net from "node:net";
 import type * as stream from "node:stream";
 import type * as serving from "@camphorcourse/serving";
-import * as acceptQueues from "./acceptDelayEstimator.js";
+import * as acceptDelayEstimators from "./acceptDelayEstimator.js";
 import * as callerAnswers from "./callerAnswer.js";
 import * as callerRequests from "./callerRequest.js";
 import type * as contexts from "./context.js";
 import * as exchanges from "./exchange.js";
-import type * as settingsModule from "./settings.js";
 import * as pendingReads from "./pendingReads.js";
+import type * as settingsModule from "./settings.js";
 
-/** Head size that the parser takes, in bytes; the configuration's own limit is checked after it. */
+/** Header size that the HTTP parser accepts, in bytes; the limit of the configuration is checked afterwards. */
 const PARSER_HEADER_BYTES = 131_072;
 
-/** Limits until a configuration is known. */
-const FIRST_LIMITS = { headerBytes: 16_384, bodyBytes: 4_194_304, headerTimeoutMs: 3_000, idleTimeoutMs: 15_000 };
+/** Limits that apply until a configuration is available. */
+const DEFAULT_LIMITS = { headerBytes: 16_384, bodyBytes: 4_194_304, headerTimeoutMs: 3_000, idleTimeoutMs: 15_000 };
 
-/** Time for which a connection may have waited from which its caller may have left, in milliseconds. */
-const LONG_WAIT_MS = 100;
+/** Possible wait for acceptance, in milliseconds, from which a connection's caller may have disconnected meanwhile. */
+const LONG_ACCEPT_DELAY_MS = 100;
 
-/** Interval at which slow heads are looked for, in milliseconds. */
-const HEAD_CHECK_MS = 500;
+/** Interval at which the server checks for requests whose headers are overdue, in milliseconds. */
+const HEADER_CHECK_INTERVAL_MS = 500;
 
-/** Time after which a caller may come back while no configuration is known, in seconds. */
+/** Retry-After value while no configuration is available, in seconds. */
 const NOT_CONFIGURED_RETRY_AFTER = "0.400";
 
-/** Time after which a caller may try another daemon, in seconds. */
+/** Retry-After value of a stopping daemon, in seconds; the caller retries on another daemon. */
 const STOPPING_RETRY_AFTER = "0.050";
 
 /** Outcome in the log of a request that was open when the process ended. */
 const ENDED_BY_STOP = "cut-by-stop";
 
-/** What the HTTP library calls a head that came too slowly. */
-const SLOW_HEAD = "ERR_HTTP_REQUEST_TIMEOUT";
+/** Error code of Node's HTTP server for headers that were not received in time. */
+const HEADERS_TIMEOUT_CODE = "ERR_HTTP_REQUEST_TIMEOUT";
 
 const BAD_REQUEST = 400;
 const NOT_FOUND = 404;
@@ -40,59 +40,59 @@
 const PAYLOAD_TOO_LARGE = 413;
 const UNAVAILABLE = 503;
 
-/** What is known of a caller while its request is read and served. */
-interface Caller {
+/** State of a caller while its request is read and served. */
+interface CallerState {
   exchange: exchanges.Exchange | undefined;
-  hasLeft: boolean;
+  hasDisconnected: boolean;
 }
 
-/** Takes callers' connections and requests. */
+/** HTTP server that accepts the connections and requests of callers. */
 export class CallerListener implements serving.StoppableListener {
   readonly #context: contexts.ServingContext;
   readonly #server: http.Server;
-  /** Requests that were taken and have no final answer yet. */
-  readonly #taken = new Set<exchanges.Exchange>();
+  /** Accepted requests that have no final answer yet. */
+  readonly #unanswered = new Set<exchanges.Exchange>();
   /** Answers to requests whose body is still being read. */
-  readonly #unread = new Set<callerAnswers.CallerAnswer>();
+  readonly #readingBody = new Set<callerAnswers.CallerAnswer>();
   readonly #connections = new Set<stream.Duplex>();
-  readonly #acceptQueue = new acceptQueues.AcceptQueue();
-  /** Connections that may have waited long and have not brought a request yet. */
-  readonly #longWaiting = new WeakSet<stream.Duplex>();
+  readonly #acceptDelay = new acceptDelayEstimators.AcceptDelayEstimator();
+  /** Connections that may have waited long for acceptance and have not delivered a request yet. */
+  readonly #acceptedLate = new WeakSet<stream.Duplex>();
   /** Instant of the last request of each connection, in milliseconds. */
   readonly #readAt = new WeakMap<stream.Duplex, number>();
   #plannedStop: serving.PlannedStop | undefined;
   #doorClosed = false;
-  #open = 0;
+  #openRequests = 0;
   #lastRequestAt = 0;
 
-  /** @param context - what serving needs */
+  /** @param context - dependencies shared by all requests */
   constructor(context: contexts.ServingContext) {
     this.#context = context;
     this.#server = http.createServer({
       maxHeaderSize: PARSER_HEADER_BYTES,
-      connectionsCheckingInterval: HEAD_CHECK_MS,
+      connectionsCheckingInterval: HEADER_CHECK_INTERVAL_MS,
       requestTimeout: 0,
-      headersTimeout: FIRST_LIMITS.headerTimeoutMs,
-      keepAliveTimeout: FIRST_LIMITS.idleTimeoutMs,
+      headersTimeout: DEFAULT_LIMITS.headerTimeoutMs,
+      keepAliveTimeout: DEFAULT_LIMITS.idleTimeoutMs,
       noDelay: true,
       insecureHTTPParser: false,
       joinDuplicateHeaders: false,
     });
     this.#server.on("connection", (socket: stream.Duplex) => {
       this.#connections.add(socket);
-      if (this.#acceptQueue.noteAccepted(performance.now()) >= LONG_WAIT_MS) this.#longWaiting.add(socket);
+      if (this.#acceptDelay.noteAccepted(performance.now()) >= LONG_ACCEPT_DELAY_MS) this.#acceptedLate.add(socket);
       socket.once("close", () => this.#connections.delete(socket));
     });
     this.#server.on("request", (incoming, response) => void this.#onRequest(incoming, response));
     this.#server.on("clientError", (error: NodeJS.ErrnoException, socket) => this.#onClientError(error, socket));
   }
 
-  /** @returns requests that have no final answer yet */
+  /** @returns number of requests that have no final answer yet */
   get openRequests(): number {
-    return this.#open;
+    return this.#openRequests;
   }
 
-  /** @returns bytes of answers that callers' connections have been given and have not taken yet */
+  /** @returns bytes of answers that are buffered here because the callers' connections have not accepted them yet */
   get unsentBytes(): number {
     return [...this.#connections].reduce((sum, socket) => sum + socket.writableLength, 0);
   }
@@ -109,8 +109,8 @@
     });
   }
 
-  /** A configuration has come into force: its limits hold for callers. */
-  followLimits(): void {
+  /** Applies the timeouts of the configuration in force to the server. */
+  applyLimits(): void {
     const limits = this.#context.view.table?.configuration.limits;
     if (limits === undefined) return;
     this.#server.headersTimeout = limits.headerTimeoutMs;
@@ -118,60 +118,63 @@
   }
 
   /**
-   * From now on each connection is closed after its answer, and what can't end in time is told that it has not run.
+   * Begins a planned stop: from now on each connection is closed after its answer, and a request that cannot end in time
+   * is rejected as not run.
    *
-   * @param plannedStop - what is still taken
+   * @param plannedStop - decides which requests are still accepted
    */
   beginStop(plannedStop: serving.PlannedStop): void {
     this.#plannedStop = plannedStop;
   }
 
-  /** @returns whether no connection is taken any more */
+  /** @returns whether new connections are no longer accepted */
   get doorIsClosed(): boolean {
     return this.#doorClosed;
   }
 
-  /** From now on no connection is taken. */
+  /** Stops accepting new connections. */
   closeDoor(): void {
     if (this.#doorClosed) return;
     this.#doorClosed = true;
-    this.#context.log.info("refusing", { open: this.#open });
-    // Not the HTTP server's own close: it also breaks connections whose last answer is still on its way to a slow reader.
+    this.#context.log.info("refusing", { open: this.#openRequests });
+    // http.Server.close() would also break connections whose last answer is still being sent to a slow reader.
     net.Server.prototype.close.call(this.#server);
   }
 
   /**
-   * There is no time left to run anything: what has not left for an endpoint is told so, and never leaves. So is what
-   * is still being read; its connection would break without a word when the process ends.
+   * Rejects each request that has not been sent to an endpoint, as there is no time left to run it; it is not sent any
+   * more. Requests whose body is still being read are rejected too: otherwise their connection would break without an
+   * answer when the process ends.
    */
   endUnsent(): void {
-    for (const answer of this.#unread) this.#refuseStopping(answer);
-    for (const exchange of [...this.#taken]) if (exchange.isUnsent) exchange.endNow(ENDED_BY_STOP);
+    for (const answer of this.#readingBody) this.#refuseStopping(answer);
+    for (const exchange of [...this.#unanswered]) if (exchange.isUnsent) exchange.endNow(ENDED_BY_STOP);
   }
 
-  /** There is no time left for an answer to begin: each request without one gets its true final answer. */
+  /** Gives each request whose answer has not begun its final answer, as there is no time left for an answer to begin. */
   endUnbegun(): void {
-    for (const exchange of [...this.#taken]) if (!exchange.answerHasBegun) exchange.endNow(ENDED_BY_STOP);
+    for (const exchange of [...this.#unanswered]) if (!exchange.answerHasBegun) exchange.endNow(ENDED_BY_STOP);
   }
 
-  /** The process ends: what is still open gets its true final answer, instead of a connection that breaks. */
+  /** Gives each open request its final answer before the process ends, so that its connection does not just break. */
   endOpen(): void {
-    for (const exchange of [...this.#taken]) exchange.endNow(ENDED_BY_STOP);
+    for (const exchange of [...this.#unanswered]) exchange.endNow(ENDED_BY_STOP);
   }
 
-  /** Takes no new connections, and closes those that are idle. */
+  /** Stops accepting connections and closes the idle ones. */
   close(): void {
     this.#server.close();
     this.#server.closeIdleConnections();
   }
 
   /**
-   * Bytes that are no request, or a head that comes too slowly. After a standstill the look for slow heads comes before
-   * the sockets are read, and a request that lies there would be told that it is wrong: it has its turn first. Only
-   * what is still slow then is turned away, with the status that lets the caller come again.
+   * Handles bytes that are not a valid request, and headers that arrive too slowly. After a pause of the process, Node
+   * checks for overdue headers before it reads the sockets, so a request that is already there would be rejected as
+   * faulty. The pending reads are therefore handled first; only what is still overdue then gets status 408, which allows
+   * the caller to retry.
    */
   #onClientError(error: NodeJS.ErrnoException, socket: stream.Duplex): void {
-    if (error.code !== SLOW_HEAD) {
+    if (error.code !== HEADERS_TIMEOUT_CODE) {
       this.#closeConnection(socket, BAD_REQUEST, error);
       return;
     }
@@ -193,54 +196,55 @@
     const now = performance.now();
     this.#lastRequestAt = now;
     this.#readAt.set(incoming.socket, now);
-    this.#open++;
+    this.#openRequests++;
     response.once("close", () => {
-      this.#open--;
+      this.#openRequests--;
     });
     const answer = new callerAnswers.CallerAnswer(response, () => this.#plannedStop !== undefined);
-    const limits = view.table?.configuration.limits ?? FIRST_LIMITS;
+    const limits = view.table?.configuration.limits ?? DEFAULT_LIMITS;
     const read = callerRequests.readCallerRequest(incoming, format, limits.headerBytes, now);
     if (read.isErr()) {
       log.info("bad-request", { detail: read.error.detail, status: read.error.status });
-      this.#turnAway(incoming, answer, read.error.status, read.error.detail);
+      this.#refuseUnread(incoming, answer, read.error.status, read.error.detail);
       return;
     }
     const request = read.value;
-    const caller: Caller = { exchange: undefined, hasLeft: false };
-    const leave = (): void => {
-      caller.hasLeft = true;
+    const caller: CallerState = { exchange: undefined, hasDisconnected: false };
+    const onDisconnect = (): void => {
+      caller.hasDisconnected = true;
       caller.exchange?.callerLeft();
     };
-    // The end of the connection is heard before the response closes, and before a request behind it is sent.
-    incoming.socket.once("end", leave);
+    // The socket's "end" event is emitted before the response closes, and before a later request is sent to an endpoint.
+    incoming.socket.once("end", onDisconnect);
     response.once("close", () => {
-      incoming.socket.off("end", leave);
-      if (!response.writableFinished) leave();
+      incoming.socket.off("end", onDisconnect);
+      if (!response.writableFinished) onDisconnect();
     });
-    this.#unread.add(answer);
+    this.#readingBody.add(answer);
     const body = await callerRequests.readBody(incoming, limits.bodyBytes);
-    // What a caller sent before it left lies before its leaving: heard first, it would be sent for nobody.
-    if (this.#longWaiting.delete(incoming.socket)) await pendingReads.handled();
-    this.#unread.delete(answer);
+    // A caller's request is read before its disconnect. Without waiting for the pending reads, a request whose caller
+    // disconnected while the connection waited for acceptance would still be sent to an endpoint.
+    if (this.#acceptedLate.delete(incoming.socket)) await pendingReads.handled();
+    this.#readingBody.delete(answer);
     const { requestId: id } = request.headers;
     if (answer.state === callerAnswers.AnswerState.Ended) {
       log.info("refused-stopping", { id, detail: "before its request was read" });
-    } else if (body === undefined || caller.hasLeft || response.destroyed) {
+    } else if (body === undefined || caller.hasDisconnected || response.destroyed) {
       log.info("caller-left", { id, detail: "before its request was read" });
     } else if (body === "too-large") {
       log.info("body-too-large", { id, limit: limits.bodyBytes });
-      this.#turnAway(incoming, answer, PAYLOAD_TOO_LARGE, "the body is over the limit");
+      this.#refuseUnread(incoming, answer, PAYLOAD_TOO_LARGE, "the request body exceeds the size limit");
     } else {
-      const exchange = this.#take(request, body, answer);
+      const exchange = this.#accept(request, body, answer);
       if (exchange === undefined) return;
       caller.exchange = exchange;
-      response.once("close", () => this.#taken.delete(exchange));
+      response.once("close", () => this.#unanswered.delete(exchange));
       exchange.start();
     }
   }
 
-  /** @returns the request's exchange, not yet started, or undefined if it has its answer already */
-  #take(
+  /** @returns the exchange of the request, not yet started, or undefined if the request was refused */
+  #accept(
     request: callerRequests.CallerRequest,
     body: Buffer,
     answer: callerAnswers.CallerAnswer,
@@ -251,26 +255,26 @@
     if (table === undefined) {
       log.info("no-configuration", { id });
       const retry = [format.retryAfterHeader, NOT_CONFIGURED_RETRY_AFTER];
-      answer.refuse(UNAVAILABLE, "no configuration is known yet; come back after Retry-After", retry);
+      answer.refuse(UNAVAILABLE, "no configuration is available yet; retry after Retry-After", retry);
       return undefined;
     }
     const route = table.find(request.host, request.path);
     if (route === undefined) {
       log.info("no-route", { id, host: request.host, path: request.path, configuration: view.configurationRevision });
-      answer.refuse(NOT_FOUND, "no route leads there; check the host and the path");
+      answer.refuse(NOT_FOUND, "no route matches this host and path; check both");
       return undefined;
     }
-    if (this.#comesTooLate(request, route)) {
+    if (this.#isRefusedByStop(request, route)) {
       this.#refuseStopping(answer);
       return undefined;
     }
-    const taken = new exchanges.Exchange(this.#context, request, route, body, answer);
-    this.#taken.add(taken);
-    return taken;
+    const exchange = new exchanges.Exchange(this.#context, request, route, body, answer);
+    this.#unanswered.add(exchange);
+    return exchange;
   }
 
-  /** One line for each request that comes during a planned stop: whether it is taken, and how long it may last. */
-  #comesTooLate(request: callerRequests.CallerRequest, route: serving.Route): boolean {
+  /** Decides whether a request that arrives during a planned stop is refused, and logs the decision with its time limit. */
+  #isRefusedByStop(request: callerRequests.CallerRequest, route: serving.Route): boolean {
     if (this.#plannedStop === undefined) return false;
     const { requestId: id, deadlineMs } = request.headers;
     const patienceMs = Math.min(deadlineMs ?? route.timeoutMs, route.timeoutMs);
@@ -285,11 +289,19 @@
 
   #refuseStopping(answer: callerAnswers.CallerAnswer): void {
     const retry = [this.#context.format.retryAfterHeader, STOPPING_RETRY_AFTER];
-    answer.refuse(UNAVAILABLE, "this daemon is stopping; come back to another one", retry);
+    answer.refuse(UNAVAILABLE, "this daemon is stopping; retry on another one", retry);
   }
 
-  /** A request that is not read to its end leaves bytes on the connection, which must not be taken for another. */
-  #turnAway(incoming: http.IncomingMessage, answer: callerAnswers.CallerAnswer, status: number, detail: string): void {
+  /**
+   * Refuses a request that was not read completely, and closes its connection: the unread bytes must not be taken for
+   * another request.
+   */
+  #refuseUnread(
+    incoming: http.IncomingMessage,
+    answer: callerAnswers.CallerAnswer,
+    status: number,
+    detail: string,
+  ): void {
     answer.refuse(status, detail, ["connection", "close"]);
     incoming.resume();
   }
--- a/packages/gateway/src/callerRequest.ts
+++ b/packages/gateway/src/callerRequest.ts
@@ -2,7 +2,7 @@
 import * as neverthrow from "neverthrow";
 import type * as ports from "./ports.js";
 
-/** A caller's request once its headers are read. */
+/** A caller's request, without its body. */
 export interface CallerRequest {
   readonly method: string;
   /** Path and query as the caller sent them. */
@@ -10,25 +10,28 @@
   readonly host: string;
   readonly path: string;
   readonly headers: ports.CallerHeaders;
-  /** IP address of the caller's end of the connection; empty if the connection is gone. */
+  /** IP address of the caller; empty if the connection is already closed. */
   readonly callerAddress: string;
   readonly arrivedAt: number;
 }
 
-/** Why a request is turned away before it is routed. */
+/** Why a request is refused before it is routed. */
 export interface RequestFault {
   readonly status: number;
   readonly detail: string;
 }
 
+/** Separator and line end of one header line: ": " and CRLF. */
 const HEADER_OVERHEAD_BYTES = 4;
 const BAD_REQUEST = 400;
 const HEADERS_TOO_LARGE = 431;
 
 /**
+ * Checks and parses the request line and the headers of a request.
+ *
  * @param incoming - the request as received
- * @param format - how headers are spelt
- * @param headerLimit - largest head in bytes
+ * @param format - parses the headers
+ * @param headerLimit - maximum size of request line and headers in bytes
  * @param now - current instant in milliseconds
  * @returns the request, or what is wrong with it
  */
@@ -39,19 +42,19 @@
   now: number,
 ): neverthrow.Result<CallerRequest, RequestFault> {
   const target = incoming.url ?? "";
-  if (headerBytes(incoming) > headerLimit) return fault(HEADERS_TOO_LARGE, "the head is over the limit");
-  if (!target.startsWith("/")) return fault(BAD_REQUEST, "the target is not a path");
-  const hosts = valuesOf(incoming.rawHeaders, "host");
+  if (headerBytes(incoming) > headerLimit) return fault(HEADERS_TOO_LARGE, "the request headers exceed the size limit");
+  if (!target.startsWith("/")) return fault(BAD_REQUEST, "the request target is not a path");
+  const hosts = headerValues(incoming.rawHeaders, "host");
   const host = hosts[0];
-  if (host === undefined || hosts.length > 1) return fault(BAD_REQUEST, "there must be one Host");
+  if (host === undefined || hosts.length > 1) return fault(BAD_REQUEST, "exactly one Host header is required");
   const headers = format.readCaller(incoming.rawHeaders);
   if (headers.isErr()) return fault(BAD_REQUEST, headers.error);
-  const query = target.indexOf("?");
+  const queryStart = target.indexOf("?");
   return neverthrow.ok({
     method: incoming.method ?? "GET",
     target,
     host: host.toLowerCase().replace(/:\d+$/, ""),
-    path: query < 0 ? target : target.slice(0, query),
+    path: queryStart < 0 ? target : target.slice(0, queryStart),
     headers: headers.value,
     callerAddress: incoming.socket.remoteAddress ?? "",
     arrivedAt: now,
@@ -68,7 +71,7 @@
   return bytes + (incoming.rawHeaders.length / 2) * HEADER_OVERHEAD_BYTES;
 }
 
-function valuesOf(rawHeaders: readonly string[], name: string): string[] {
+function headerValues(rawHeaders: readonly string[], name: string): string[] {
   const values: string[] = [];
   for (let index = 0; index + 1 < rawHeaders.length; index += 2) {
     if (rawHeaders[index]?.toLowerCase() === name) values.push(rawHeaders[index + 1] ?? "");
@@ -77,9 +80,11 @@
 }
 
 /**
+ * Reads the body of a request.
+ *
  * @param incoming - the request
- * @param limit - largest body in bytes
- * @returns the body; undefined when the caller left, "too-large" when it is over the limit
+ * @param limit - maximum size of the body in bytes
+ * @returns the body; undefined if the caller disconnected, "too-large" if the body exceeds the limit
  */
 export function readBody(incoming: http.IncomingMessage, limit: number): Promise<Buffer | "too-large" | undefined> {
   return new Promise((resolve) => {
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -9,7 +9,7 @@
 import type * as settingsModule from "./settings.js";
 import type * as suspectGates from "./suspects/suspectGate.js";
 
-/** What serving a request needs. */
+/** Dependencies that the serving of all requests shares. */
 export interface ServingContext {
   readonly settings: settingsModule.GatewaySettings;
   readonly log: decisionLogs.DecisionLog;
@@ -18,25 +18,27 @@
   readonly view: fleetViews.FleetView;
   readonly board: serving.EngineBoard;
   readonly health: serving.EndpointHealth;
-  /** What is known of the speed of each service's engines. */
+  /** Learnt speeds of each service's engines. */
   readonly speeds: serving.ServiceSpeeds;
-  /** What own requests' prompts ask of the engines. */
+  /** Engine demand of the prompts that this daemon received. */
   readonly demand: serving.Demand;
-  /** How often prompts are taken, by their size. */
+  /** Shares of prompts that were accepted, by prompt size. */
   readonly sizeShares: serving.SizeShares;
   readonly client: endpointClients.EndpointClient;
-  /** Tells which endpoints have ended, and under what. */
+  /** Detects endpoints that crashed, and the requests that they were running. */
   readonly endDetector: endpointEndDetectors.EndpointEndDetector;
-  /** Keeps requests that crash endpoints from them. */
+  /** Keeps requests that crash endpoints from being sent to them. */
   readonly suspects: suspectGates.SuspectGate;
   readonly budgets: RetryBudgets;
   readonly random: common.SeededRandom;
   /**
-   * @param endpoint - an endpoint that a request was not meant for
-   * @param answeredBy - the endpoint that is there now, if it says so
+   * Handles that a request reached another endpoint than the one it was sent to.
+   *
+   * @param endpoint - the endpoint that the request was sent to
+   * @param answeredBy - id of the endpoint that answered at its address, if the answer names it
    */
   onMisdirected(endpoint: serving.Endpoint, answeredBy: string | undefined): void;
-  /** @returns daemons that live, this one included */
+  /** @returns upper bound of the number of live daemons, including this one */
   liveDaemons(): number;
 }
 
@@ -47,8 +49,8 @@
   readonly #startedAt: number;
 
   /**
-   * @param bounds - the operators' bound
-   * @param startedAt - instant at which the process started, in milliseconds
+   * @param bounds - the limits that the operator set
+   * @param startedAt - start of the process, in milliseconds
    */
   constructor(bounds: serving.RetryBounds, startedAt: number) {
     this.#bounds = bounds;
@@ -56,8 +58,8 @@
   }
 
   /**
-   * @param service - the service
-   * @returns its budget
+   * @param service - name of the service
+   * @returns the retry budget of the service, created on first use
    */
   of(service: string): serving.SharedRetryBudget {
     let budget = this.#budgets.get(service);
--- a/packages/gateway/src/decisionLog.ts
+++ b/packages/gateway/src/decisionLog.ts
@@ -6,30 +6,30 @@
 /** Fields of a log line. */
 export type LogFields = Readonly<Record<string, common.Field>>;
 
-/** Lines of one event that are written in a second; the rest is counted and told in the next. */
-const LINES_PER_EVENT_AND_SECOND = 100;
+/** Maximum number of lines of one event per second; further lines are dropped, and their number is logged later. */
+const MAX_LINES_PER_EVENT_AND_SECOND = 100;
 
-/** Bytes that may wait for the reader of the log; beyond them lines are dropped and counted. */
-const WAITING_BYTES = 262_144;
+/** Maximum number of bytes buffered for the reader of the log; beyond it, lines are dropped and counted. */
+const MAX_BUFFERED_BYTES = 262_144;
 
 const SECOND_MS = 1_000;
 
+/** Lines of one event within one second. */
 interface EventCount {
   second: number;
   written: number;
   dropped: number;
 }
 
-/** Where the lines go: a stream that takes them without blocking. */
+/** Destination of the log lines: a stream that accepts them without blocking. */
 export interface LineSink {
   readonly writableLength: number;
   write(text: string): boolean;
 }
 
 /**
- * The daemon's log: one line of key=value pairs for each decision. Its volume is
- * bounded for each event, and a reader that doesn't keep up loses lines, which
- * are counted, instead of holding up requests.
+ * The log of a daemon: one line of key=value pairs for each decision. The number of lines per event is limited. If the
+ * reader of the log is too slow, lines are dropped and counted instead of delaying requests.
  */
 export class DecisionLog {
   readonly #logger: InstanceType<typeof bunyan>;
@@ -38,9 +38,9 @@
   #droppedBySink = 0;
 
   /**
-   * @param vm - the VM, part of each line
-   * @param level - least level that is written
-   * @param sink - takes the lines
+   * @param vm - name of the VM, part of each line
+   * @param level - minimum level that is written
+   * @param sink - destination of the lines
    */
   constructor(vm: string, level: string, sink: LineSink) {
     this.#sink = sink;
@@ -53,22 +53,23 @@
   }
 
   /**
-   * @param event - what happened, a fixed word
-   * @param fields - what decided it, and the outcome
+   * @param event - name of the event
+   * @param fields - the inputs of the decision, and its outcome
    */
   info(event: string, fields: LogFields): void {
-    if (this.#admit(event)) this.#logger.info(fields, event);
+    if (this.#isWithinLimit(event)) this.#logger.info(fields, event);
   }
 
   /**
-   * @param event - what went wrong, a fixed word
-   * @param fields - what is known of it
+   * @param event - name of the event, for something that went wrong
+   * @param fields - details of the problem
    */
   warn(event: string, fields: LogFields): void {
-    if (this.#admit(event)) this.#logger.warn(fields, event);
+    if (this.#isWithinLimit(event)) this.#logger.warn(fields, event);
   }
 
-  #admit(event: string): boolean {
+  /** @returns whether a line of the event may be written within the limit of this second */
+  #isWithinLimit(event: string): boolean {
     const second = Math.floor(performance.now() / SECOND_MS);
     let count = this.#counts.get(event);
     if (count === undefined) {
@@ -82,7 +83,7 @@
       count.dropped = 0;
       if (dropped > 0) this.#logger.warn({ of: event, lines: dropped }, "log-lines-left-out");
     }
-    if (count.written >= LINES_PER_EVENT_AND_SECOND) {
+    if (count.written >= MAX_LINES_PER_EVENT_AND_SECOND) {
       count.dropped++;
       return false;
     }
@@ -91,7 +92,7 @@
   }
 
   #writeRecord(record: Record<string, unknown>): void {
-    if (this.#sink.writableLength > WAITING_BYTES) {
+    if (this.#sink.writableLength > MAX_BUFFERED_BYTES) {
       this.#droppedBySink++;
       return;
     }
--- a/packages/gateway/src/eventSplitter.ts
+++ b/packages/gateway/src/eventSplitter.ts
@@ -1,4 +1,4 @@
-/** One whole event of a stream, as bytes, with its id if it has one. */
+/** One complete event of a server-sent event stream, as bytes, with its id if it has one. */
 export interface StreamEvent {
   readonly bytes: Buffer;
   readonly id: string | undefined;
@@ -9,16 +9,15 @@
 const ID_FIELD = /^id: ?(.*?)\r?$/m;
 
 /**
- * Cuts a stream's bytes into whole events. An endpoint may break off in the
- * middle of one; a part of an event that was passed on could not be taken back
- * when the stream goes on at another endpoint.
+ * Splits the bytes of a stream into complete events. An endpoint may break off inside an event; if a part of that event
+ * had been forwarded, it could not be taken back when the stream is resumed on another endpoint.
  */
 export class EventSplitter {
-  #rest: Buffer = Buffer.alloc(0);
+  #incomplete: Buffer = Buffer.alloc(0);
 
-  /** @returns bytes of an event that has begun and not ended */
+  /** @returns number of buffered bytes of an incomplete event */
   get unfinishedBytes(): number {
-    return this.#rest.length;
+    return this.#incomplete.length;
   }
 
   /**
@@ -26,7 +25,7 @@
    * @returns the events that they complete
    */
   push(chunk: Buffer): StreamEvent[] {
-    const bytes = this.#rest.length === 0 ? chunk : Buffer.concat([this.#rest, chunk]);
+    const bytes = this.#incomplete.length === 0 ? chunk : Buffer.concat([this.#incomplete, chunk]);
     const events: StreamEvent[] = [];
     let start = 0;
     for (let end = endOfEvent(bytes, start); end >= 0; end = endOfEvent(bytes, start)) {
@@ -34,12 +33,12 @@
       events.push({ bytes: event, id: ID_FIELD.exec(event.toString("latin1"))?.[1] });
       start = end;
     }
-    this.#rest = bytes.subarray(start);
+    this.#incomplete = bytes.subarray(start);
     return events;
   }
 }
 
-/** @returns index behind the blank line that ends the event, or -1 */
+/** @returns index after the blank line that ends the event, or -1 if the event is incomplete */
 function endOfEvent(bytes: Buffer, start: number): number {
   for (let at = bytes.indexOf(LINE_FEED, start); at >= 0; at = bytes.indexOf(LINE_FEED, at + 1)) {
     if (bytes[at + 1] === LINE_FEED) return at + 2;
--- a/packages/gateway/src/exchange.ts
+++ b/packages/gateway/src/exchange.ts
@@ -11,7 +11,7 @@
 
 const BAD_GATEWAY = 502;
 
-/** One request of a caller, from its arrival to its one final answer. */
+/** Serves one request of a caller, from its arrival to its single final answer. */
 export class Exchange {
   readonly #context: contexts.ServingContext;
   readonly #served: servedRequests.ServedRequest;
@@ -21,11 +21,11 @@
   #deadlineTimer: NodeJS.Timeout | undefined;
 
   /**
-   * @param context - what serving needs
+   * @param context - dependencies shared by all requests
    * @param request - the caller's request
-   * @param route - its route
-   * @param body - its whole body
-   * @param answer - takes the answer
+   * @param route - the route that matched
+   * @param body - the complete body
+   * @param answer - the answer to the caller
    */
   constructor(
     context: contexts.ServingContext,
@@ -37,7 +37,7 @@
     this.#context = context;
     this.#served = new servedRequests.ServedRequest(context, request, route, body);
     this.#lessons = new endpointLessons.EndpointLessons(context, this.#served);
-    this.#end = new requestEnds.RequestEnd(context, this.#served, answer, () => this.#onOver());
+    this.#end = new requestEnds.RequestEnd(context, this.#served, answer, () => this.#onEnded());
     this.#course = new sendCourses.SendCourse({
       context,
       served: this.#served,
@@ -48,20 +48,20 @@
     });
   }
 
-  /** @returns whether a part of the answer has left */
+  /** @returns whether a part of the answer has been sent to the caller */
   get answerHasBegun(): boolean {
     return this.#end.hasBegun;
   }
 
-  /** @returns whether nothing has run yet and nothing that may is on its way */
+  /** @returns whether nothing has run yet, and nothing that may run has been sent to an endpoint */
   get isUnsent(): boolean {
     return !this.#mayHaveRun();
   }
 
   /** Begins to serve the request. */
   start(): void {
-    // After a standstill timers have their turn before sockets: an answer that came in time would be thrown away for 504.
-    // What is put off to the end of the loop's turn comes after the sockets.
+    // After a pause of the process, timers run before pending socket reads: an answer that came in time would be discarded
+    // in favour of a 504. setImmediate runs the deadline after the reads.
     const onTime = (): unknown => setImmediate(() => this.#onDeadline());
     this.#deadlineTimer = setTimeout(onTime, Math.max(0, this.#served.remainingMs));
     this.#served.chooseService();
@@ -69,16 +69,16 @@
     this.#course.sendNext();
   }
 
-  /** The caller has left: what runs for it is cancelled. */
+  /** Handles that the caller has disconnected: the send under way is cancelled. */
   callerLeft(): void {
     this.#end.callerLeft();
   }
 
   /**
-   * Gives the request its true final answer at once: to come back if nothing of
-   * it can have run, else that its answer is lost. A stream is broken off.
+   * Ends the request at once. If nothing of it can have run, the caller is told to retry, otherwise that the answer is
+   * lost. A stream that has begun is aborted.
    *
-   * @param reason - why, for the log
+   * @param reason - outcome in the log
    */
   endNow(reason: string): void {
     if (this.#end.over) return;
@@ -89,19 +89,19 @@
   #onDeadline(): void {
     if (this.#end.over) return;
     const { active } = this.#course;
-    const ran = this.#mayHaveRun();
+    const mayHaveRun = this.#mayHaveRun();
     if (active !== undefined) this.#lessons.judge(active, serving.SendResult.Silent);
-    this.#end.timeOut(ran);
+    this.#end.timeOut(mayHaveRun);
   }
 
-  /** @returns whether a send may have run the request, the one under way included */
+  /** @returns whether a send may have run the request, including the one under way */
   #mayHaveRun(): boolean {
     const { active } = this.#course;
-    const runs = active?.stage === sendChoosers.Stage.Answering && active.hasLeft;
-    return this.#served.mayHaveRun || runs;
+    const mayBeRunning = active?.stage === sendChoosers.Stage.Answering && active.hasLeft;
+    return this.#served.mayHaveRun || mayBeRunning;
   }
 
-  #onOver(): void {
+  #onEnded(): void {
     clearTimeout(this.#deadlineTimer);
     this.#course.stop();
   }
--- a/packages/gateway/src/exchangeParts.ts
+++ b/packages/gateway/src/exchangeParts.ts
@@ -7,7 +7,7 @@
 import type * as requestEnds from "./requestEnd.js";
 import type * as servedRequests from "./servedRequest.js";
 
-/** What the sends of one request and the receivers of their answers share. */
+/** Objects of one exchange that its sends and the receivers of their answers share. */
 export interface ExchangeParts {
   readonly context: contexts.ServingContext;
   readonly served: servedRequests.ServedRequest;
@@ -17,34 +17,36 @@
   readonly end: requestEnds.RequestEnd;
 }
 
-/** Takes what came of a send. */
+/** Handles the result of a send. */
 export interface SendResultHandler {
   /**
-   * The send is over; nothing more is taken from it.
+   * Ends a send; nothing more is accepted from it.
    *
    * @param active - the send
-   * @returns whether its result counts: it was under way and the request is not over
+   * @returns whether its result counts: the send was under way and the request has not ended
    */
   end(active: activeSends.ActiveSend): boolean;
   /**
-   * @param active - a send that gave no answer to pass on
+   * Handles a send that gave no answer to forward.
+   *
+   * @param active - the send
    * @param fate - whether the request may have run
    * @param detail - what went wrong
    */
   failed(active: activeSends.ActiveSend, fate: serving.SendFate, detail: string): void;
   /**
-   * The connection of a send broke: its endpoint may have ended.
+   * Handles a send whose connection broke, possibly because its endpoint crashed.
    *
    * @param active - the send
    * @param fate - whether the request may have run
    * @param detail - what went wrong
    */
   broken(active: activeSends.ActiveSend, fate: serving.SendFate, detail: string): void;
-  /** The request goes on with another send. */
+  /** Continues the request with another send. */
   sendNext(): void;
 }
 
-/** A send and all that the receiver of its answer needs. */
+/** A send, with everything that the receiver of its answer needs. */
 export interface AnsweredSend extends ExchangeParts {
   readonly active: activeSends.ActiveSend;
   readonly results: SendResultHandler;
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -4,13 +4,13 @@
 import * as serving from "@camphorcourse/serving";
 import type * as hono from "hono";
 import * as beliefsModule from "./beliefs.js";
-import * as busyShares from "./loopUtilization.js";
 import * as callerListeners from "./callerListener.js";
 import * as contexts from "./context.js";
 import * as decisionLogs from "./decisionLog.js";
 import * as endpointClients from "./endpointClient.js";
 import type * as daemonEntries from "./daemonEntry.js";
 import * as fleetViews from "./fleetView.js";
+import * as loopUtilizations from "./loopUtilization.js";
 import * as loopWatches from "./loopWatch.js";
 import * as metricsModule from "./metrics.js";
 import * as orderAuthorities from "./orderAuthority.js";
@@ -25,42 +25,42 @@
 import * as storeFollowers from "./storeFollower.js";
 import * as crashProtections from "./suspects/crashProtection.js";
 
-/** Interval at which a stopping daemon looks how far it is, in milliseconds; after a standstill one look is waited for. */
+/** Interval at which a stopping daemon checks its progress, in milliseconds. After a pause of the process it waits for one check. */
 const STOP_CHECK_MS = 25;
 
-/** Lateness from which the event loop counts as late, in milliseconds: callers with tight objectives feel it. */
+/** Delay from which the event loop counts as lagging, in milliseconds; it affects callers with tight latency objectives. */
 const LOOP_LATE_MS = 100;
 
-/** Time for the last answers to leave, in milliseconds: a third of what is left until the forced end. */
+/** Time for sending the last answers, in milliseconds: a third of the time that remains until the process is killed. */
 const LAST_ANSWERS_MS = 200;
 
-/** Most addresses in one answer. */
-const MOST_ADDRESSES = 64;
+/** Maximum number of addresses in one answer. */
+const MAX_ADDRESSES = 64;
 
-/** Daemons in a caller's own data centre from which it is sent nowhere else. */
-const ENOUGH_NEAR = 2;
+/** Number of daemons in a caller's own data centre from which on it gets no addresses in other data centres. */
+const MIN_NEARBY_DAEMONS = 2;
 
-/** What the daemon that gives orders is chosen for, by hash. */
+/** Key of the rendezvous hash that chooses the daemon that issues role orders. */
 const ORDERS_KEY = "orders";
 
 const SEED_BYTES = 4;
 
-/** Changes after which nothing new may be sent to the endpoint. */
+/** Changes after which no new request may be sent to the endpoint. */
 const DEPARTURES: ReadonlySet<serving.EndpointChange> = new Set([
   serving.EndpointChange.Leaving,
   serving.EndpointChange.Gone,
   serving.EndpointChange.SetAside,
 ]);
 
-/** What the surroundings give a gateway. */
-export interface Surroundings {
+/** What the platform provides to a gateway. */
+export interface GatewayDependencies {
   readonly store: ports.DurableStore;
   readonly layout: ports.StoreLayout;
   readonly format: ports.MessageFormat;
   readonly sink: decisionLogs.LineSink;
 }
 
-/** One daemon: takes callers, follows the fleet, and forwards requests. */
+/** One daemon: accepts callers' requests, follows the state of the fleet, and forwards the requests to endpoints. */
 export class Gateway {
   readonly #settings: settingsModule.GatewaySettings;
   readonly #log: decisionLogs.DecisionLog;
@@ -77,17 +77,17 @@
   readonly #authority: orderAuthorities.OrderAuthority;
   readonly #roles: roleChangers.RoleChanger;
   readonly #servers: http.Server[] = [];
-  readonly #loopWatch = new loopWatches.LoopWatch(undefined, (lateMs) => this.#noteTurn(lateMs));
+  readonly #loopWatch = new loopWatches.LoopWatch(undefined, (lateMs) => this.#onHeartbeat(lateMs));
   #stopping = false;
-  readonly #busy = new busyShares.BusyShare();
+  readonly #utilization = new loopUtilizations.LoopUtilization();
 
   /**
-   * @param settings - checked settings
-   * @param surroundings - the platform
+   * @param settings - validated settings
+   * @param dependencies - what the platform provides
    */
-  constructor(settings: settingsModule.GatewaySettings, surroundings: Surroundings) {
+  constructor(settings: settingsModule.GatewaySettings, dependencies: GatewayDependencies) {
     this.#settings = settings;
-    this.#log = new decisionLogs.DecisionLog(settings.vm, settings.logLevel, surroundings.sink);
+    this.#log = new decisionLogs.DecisionLog(settings.vm, settings.logLevel, dependencies.sink);
     const random = new common.SeededRandom(crypto.randomBytes(SEED_BYTES).readUInt32BE());
     this.#entry = {
       vm: settings.vm,
@@ -102,8 +102,8 @@
       () => this.#loopWatch.lateMs >= LOOP_LATE_MS,
     );
     this.#protection = new crashProtections.CrashProtection({
-      store: surroundings.store,
-      prefix: surroundings.layout.suspectPrefix,
+      store: dependencies.store,
+      prefix: dependencies.layout.suspectPrefix,
       log: this.#log,
       client,
       directory: this.#view.directory,
@@ -115,7 +115,7 @@
       settings,
       log: this.#log,
       metrics: this.#metrics,
-      format: surroundings.format,
+      format: dependencies.format,
       view: this.#view,
       board: new serving.EngineBoard(),
       health: new serving.EndpointHealth(),
@@ -132,20 +132,20 @@
     };
     this.#listener = new callerListeners.CallerListener(this.#context);
     const beliefs = new beliefsModule.Beliefs({
-      layout: surroundings.layout,
+      layout: dependencies.layout,
       view: this.#view,
       log: this.#log,
-      onEndpoint: (news) => this.#onEndpoint(news),
+      onEndpoint: (update) => this.#onEndpoint(update),
       onSuspect: (record) => suspects.table.merge(record, performance.now()),
       onRoleChange: (service, role, agoMs) => this.#roles.changed(service, role, agoMs),
       onConfiguration: () => {
-        this.#listener.followLimits();
+        this.#listener.applyLimits();
         this.#peers.noteConfiguration();
       },
     });
     this.#follower = new storeFollowers.StoreFollower({
-      store: surroundings.store,
-      layout: surroundings.layout,
+      store: dependencies.store,
+      layout: dependencies.layout,
       view: this.#view,
       beliefs,
       log: this.#log,
@@ -169,7 +169,7 @@
       ready: () => this.ready,
       storeSilentMs: () => this.#follower.silentMs,
       followsClosely: () => this.#storeDuty.followsClosely(performance.now()),
-      busyCores: () => this.#busy.share * settings.capacity,
+      busyCores: () => this.#utilization.share * settings.capacity,
       onDaemon: (heard) => beliefs.takeHeardDaemon(heard),
       onConfiguration: (document, revision) => beliefs.takeConfiguration(document, revision, beliefsModule.Source.Peer),
       onEndpoint: (id, value, revision) => beliefs.takeEndpoint(id, value, revision, beliefsModule.Source.Peer),
@@ -183,38 +183,38 @@
       ready: () => this.ready,
     });
     this.#authority = new orderAuthorities.OrderAuthority({
-      store: surroundings.store,
-      key: surroundings.layout.authorityKey,
+      store: dependencies.store,
+      key: dependencies.layout.authorityKey,
       vm: settings.vm,
       log: this.#log,
       leaseMs: settings.orderLeaseMs,
-      eligible: () => this.#isFirst(),
+      eligible: () => this.#isOrderCandidate(),
     });
     this.#roles = new roleChangers.RoleChanger({
       context: this.#context,
       authority: this.#authority,
-      store: surroundings.store,
-      changeKey: surroundings.layout.roleChangeKey,
+      store: dependencies.store,
+      changeKey: dependencies.layout.roleChangeKey,
       readingLoad: () =>
-        this.#fromAll((peer) => peer.readingLoad) + this.#context.demand.readingLoad(performance.now()),
+        this.#sumOverPeers((peer) => peer.readingLoad) + this.#context.demand.readingLoad(performance.now()),
       eventsPerMs: () =>
-        this.#fromAll((peer) => peer.eventsPerMs) + this.#context.demand.eventsPerMs(performance.now()),
+        this.#sumOverPeers((peer) => peer.eventsPerMs) + this.#context.demand.eventsPerMs(performance.now()),
     });
-    const key = `${surroundings.layout.daemonPrefix}${settings.vm}`;
-    this.#registration = new registrations.Registration(surroundings.store, key, this.#entry, this.#log);
+    const key = `${dependencies.layout.daemonPrefix}${settings.vm}`;
+    this.#registration = new registrations.Registration(dependencies.store, key, this.#entry, this.#log);
   }
 
-  /** @returns whether callers may be sent here */
+  /** @returns whether callers may be directed to this daemon */
   get ready(): boolean {
     return !this.#stopping && this.#view.table !== undefined;
   }
 
-  /** @returns requests of callers that have no final answer yet */
+  /** @returns number of callers' requests that have no final answer yet */
   get openRequests(): number {
     return this.#listener.openRequests;
   }
 
-  /** Begins to serve. */
+  /** Starts serving. */
   async start(): Promise<void> {
     this.#log.info("start", { incarnation: this.#entry.incarnation, dataCentre: this.#settings.dataCentre });
     void this.#follower.run();
@@ -227,9 +227,9 @@
   }
 
   /**
-   * Serves one of the small interfaces beside the callers'.
+   * Starts an additional HTTP server beside the callers' one, such as for readiness, addresses or metrics.
    *
-   * @param app - what answers
+   * @param app - handles its requests
    * @param address - where to listen
    */
   async serve(app: hono.Hono, address: settingsModule.SocketAddress): Promise<void> {
@@ -238,7 +238,7 @@
 
   /**
    * @param dataCentre - the caller's data centre
-   * @returns addresses to which the caller may connect: near ones if there are enough
+   * @returns addresses to which the caller may connect: only those in its data centre if there are enough
    */
   addressesFor(dataCentre: string): string[] {
     const now = performance.now();
@@ -246,12 +246,12 @@
       (daemon) => daemon.vm !== this.#entry.vm && daemon.callers !== "",
     );
     const { names } = this.#peers.standing;
-    const able = others.filter(({ vm }) => names.includes(vm) || this.#peers.book.mayTakeCallers(vm, now));
-    if (this.ready) able.push(this.#entry);
-    const active = able.filter((daemon) => this.#isActive(daemon.vm, now));
-    const choices = [active, able].map((daemons) => daemons.filter((daemon) => daemon.dataCentre === dataCentre));
-    const chosen = choices.find((near) => near.length >= ENOUGH_NEAR) ?? able;
-    return chosen.map((daemon) => daemon.callers).slice(0, MOST_ADDRESSES);
+    const available = others.filter(({ vm }) => names.includes(vm) || this.#peers.book.mayTakeCallers(vm, now));
+    if (this.ready) available.push(this.#entry);
+    const active = available.filter((daemon) => this.#isActive(daemon.vm, now));
+    const choices = [active, available].map((daemons) => daemons.filter((daemon) => daemon.dataCentre === dataCentre));
+    const chosen = choices.find((nearby) => nearby.length >= MIN_NEARBY_DAEMONS) ?? available;
+    return chosen.map((daemon) => daemon.callers).slice(0, MAX_ADDRESSES);
   }
 
   #isActive(vm: string, now: number): boolean {
@@ -259,7 +259,7 @@
     return this.#peers.book.heard(vm, now)?.active ?? false;
   }
 
-  /** @returns the metrics as text */
+  /** @returns all metrics in the text format */
   metricsText(): string {
     return this.#metrics.text({
       requests_open: this.#listener.openRequests,
@@ -269,7 +269,7 @@
       daemons_heard: this.#peers.book.live(performance.now()).length,
       suspects: this.#context.suspects.table.count(performance.now()),
       takes_callers: Number(this.#peers.standing.active),
-      busy_cores: this.#busy.share * this.#settings.capacity,
+      busy_cores: this.#utilization.share * this.#settings.capacity,
       heap_bytes: process.memoryUsage().heapUsed,
       event_loop_utilization: performance.eventLoopUtilization().utilization,
       unsent_bytes_to_callers: this.#listener.unsentBytes,
@@ -278,14 +278,14 @@
   }
 
   /**
-   * Stops as planned: callers are sent elsewhere, what runs is finished, those
-   * that still come are served until they have learnt of it.
+   * Shuts down gracefully: callers are directed to other daemons, running requests are finished, and callers that still
+   * connect are served until they have learnt of the shutdown.
    */
   async stop(): Promise<void> {
     if (this.#stopping) return;
     this.#stopping = true;
     const heardAt = performance.now();
-    const earliestAt = this.#loopWatch.signalledFrom();
+    const earliestAt = this.#loopWatch.earliestSignalAt();
     const plannedStop = new serving.PlannedStop({ earliestAt, heardAt, graceMs: this.#settings.stopGraceMs });
     const heardLateMs = Math.round(heardAt - earliestAt);
     this.#log.info("stop", { open: this.#listener.openRequests, heardLateMs });
@@ -294,9 +294,9 @@
     void this.#registration.end();
     void this.#authority.end();
     this.#roles.stop();
-    await this.#untilOver(plannedStop);
+    await this.#completeShutdown(plannedStop);
     this.#listener.endOpen();
-    await this.#untilAnswered(performance.now() + LAST_ANSWERS_MS);
+    await this.#allAnswered(performance.now() + LAST_ANSWERS_MS);
     this.#listener.close();
     this.#follower.stop();
     this.#protection.stop();
@@ -306,10 +306,10 @@
   }
 
   /**
-   * A fault that nothing caught is about to end the process. Without this line only its last output tells of it, which
-   * the bundled program's long lines crowd out.
+   * Logs an uncaught error that is about to end the process. Without this line only the last output of the process shows
+   * the error, where the long source lines of the bundled program crowd it out.
    *
-   * @param error - the fault
+   * @param error - the uncaught error
    */
   logFatal(error: Error): void {
     this.#log.warn("daemon-failed", { detail: error.message, stack: error.stack });
@@ -321,13 +321,13 @@
   }
 
   /**
-   * One daemon of those that live and reach the key-value service takes the
-   * orders on; another follows when it falls silent or is cut off from the
-   * service, as it can't renew its lease then and nobody would give orders.
+   * Whether this daemon is the one that should issue role orders: one of the live daemons that reach the key-value
+   * service. When that daemon falls silent or loses the service, another becomes the candidate: the first could not renew
+   * its lease, and nobody would issue orders.
    */
-  #isFirst(): boolean {
+  #isOrderCandidate(): boolean {
     if (!this.ready || this.#follower.silentMs > peerBooks.STORE_SILENT_MS) return false;
-    // One that stands by hears only a part of the fleet, and would take itself for the first of it.
+    // A standby daemon hears only from a part of the fleet, and would wrongly consider itself the candidate.
     if (!this.#peers.standing.active) return false;
     const peers = this.#peers.book
       .live(performance.now())
@@ -337,12 +337,12 @@
   }
 
   /**
-   * A daemon short of processor time, a full link and a busy engine all look like answers that come late. Only this
-   * line tells the first from the others.
+   * Logs a lagging event loop. A daemon short of processor time, a saturated link and a busy engine all show as late
+   * answers; only this log line tells the first from the others.
    */
-  #noteTurn(lateMs: number): void {
+  #onHeartbeat(lateMs: number): void {
     this.#metrics.record(metricsModule.Duration.LoopLate, lateMs);
-    const utilization = this.#busy.noteTurn();
+    const utilization = this.#utilization.sample();
     if (lateMs < LOOP_LATE_MS) return;
     this.#log.warn("loop-late", {
       lateMs: Math.round(lateMs),
@@ -353,44 +353,43 @@
     });
   }
 
-  #fromAll(told: (peer: peerBooks.PeerState) => number): number {
-    return this.#peers.book.live(performance.now()).reduce((sum, peer) => sum + told(peer), 0);
+  #sumOverPeers(valueOf: (peer: peerBooks.PeerState) => number): number {
+    return this.#peers.book.live(performance.now()).reduce((sum, peer) => sum + valueOf(peer), 0);
   }
 
-  async #untilOver(plannedStop: serving.PlannedStop): Promise<void> {
+  async #completeShutdown(plannedStop: serving.PlannedStop): Promise<void> {
     while (!plannedStop.step(this.#listener, performance.now())) {
       await new Promise((resolve) => setTimeout(resolve, STOP_CHECK_MS));
     }
   }
 
-  async #untilAnswered(lastAt: number): Promise<void> {
-    while (this.#listener.openRequests > 0 && performance.now() < lastAt) {
+  async #allAnswered(latestAt: number): Promise<void> {
+    while (this.#listener.openRequests > 0 && performance.now() < latestAt) {
       await new Promise((resolve) => setImmediate(resolve));
     }
   }
 
-  #onEndpoint(news: serving.EndpointNews): void {
-    // Peers are told no entry that can't be used: it may be long, and those of an older form would only log it.
-    const setAside = news.change === serving.EndpointChange.SetAside;
-    const { revision, leavingBornAt: bornAt } = news;
-    if (DEPARTURES.has(news.change)) this.#peers.noteDeparture(news.id, { revision, bornAt, setAside });
-    else this.#peers.noteEntry(news.id);
-    if (news.endpoint !== undefined) this.#context.suspects.noteListed(news.endpoint);
-    if (news.change === serving.EndpointChange.Gone) {
-      this.#view.endpointDocuments.delete(news.id);
-      this.#forget(news.id);
+  #onEndpoint(update: serving.EndpointNews): void {
+    // An entry that cannot be used is not sent to peers: it may be long, and peers with an older format would only log it.
+    const setAside = update.change === serving.EndpointChange.SetAside;
+    const { revision, leavingBornAt: bornAt } = update;
+    if (DEPARTURES.has(update.change)) this.#peers.noteDeparture(update.id, { revision, bornAt, setAside });
+    else this.#peers.noteEntry(update.id);
+    if (update.endpoint !== undefined) this.#context.suspects.noteListed(update.endpoint);
+    if (update.change === serving.EndpointChange.Gone) {
+      this.#view.endpointDocuments.delete(update.id);
+      this.#forgetEndpoint(update.id);
     }
-    if (news.startedAgain !== true) return;
-    this.#view.changing.delete(news.id);
-    this.#forget(news.id);
+    if (update.startedAgain !== true) return;
+    this.#view.changing.delete(update.id);
+    this.#forgetEndpoint(update.id);
   }
 
   /**
-   * What was known of one life of an endpoint doesn't hold for the next. Kept,
-   * callers would be kept from a sound endpoint by the failures before, and
-   * prompts sent to an engine for parts that it no longer has.
+   * Discards what is known of an endpoint, as it does not hold for its next incarnation. Otherwise earlier failures would
+   * keep requests from a healthy endpoint, and prompts would be sent to an engine for cached parts that it no longer has.
    */
-  #forget(endpointId: string): void {
+  #forgetEndpoint(endpointId: string): void {
     this.#context.client.forget(endpointId);
     this.#context.board.forget(endpointId);
     this.#context.health.forget(endpointId);
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,4 +1,4 @@
-/** The gateway: sockets and timers round the decisions of serving, over the ports of its surroundings. */
+/** The gateway: runs the decision logic of the serving package with sockets and timers. The platform implements its ports. */
 export * from "./address.js";
 export * from "./beliefs.js";
 export * from "./context.js";
--- a/packages/gateway/src/loopWatch.ts
+++ b/packages/gateway/src/loopWatch.ts
@@ -1,82 +1,80 @@
-/** Interval at which the event loop leaves a trace of its life, in milliseconds. */
-const TURN_EVERY_MS = 200;
+/** Interval of the event loop's heartbeats, in milliseconds. */
+const HEARTBEAT_INTERVAL_MS = 200;
 
-/** Gap between two traces above which the process stood still, in milliseconds. */
-const STOOD_STILL_MS = 2 * TURN_EVERY_MS;
+/** Time since the last heartbeat above which the process was paused, in milliseconds. */
+const PAUSE_MS = 2 * HEARTBEAT_INTERVAL_MS;
 
-/** Reads the steady clock and the time of day, both in milliseconds. */
+/** A monotonic clock and the system time, both in milliseconds. */
 export interface Clocks {
-  steady(): number;
-  timeOfDay(): number;
+  monotonic(): number;
+  systemTime(): number;
 }
 
-/** Takes how late the event loop was, in milliseconds. */
-export type LatenessListener = (lateMs: number) => void;
+/** Called with the delay of the event loop, in milliseconds. */
+export type DelayListener = (lateMs: number) => void;
 
-const SYSTEM_CLOCKS: Clocks = { steady: () => performance.now(), timeOfDay: () => Date.now() };
+const SYSTEM_CLOCKS: Clocks = { monotonic: () => performance.now(), systemTime: () => Date.now() };
 
 /**
- * Tells since when a signal may have been waiting. A process that stands still
- * hears a signal only when it goes on, and counts the time until its forced end
- * from then: it takes and keeps requests that are cut by force before it would
- * have ended. Both clocks are compared, as the steady one may not count the time
- * of a suspension.
+ * Monitors the event loop, and estimates since when a signal may have been pending. A paused process receives a signal
+ * only when it resumes. If it counted the time until it is killed from then, it would accept and keep requests that are
+ * cut when it is killed before its own end. Both clocks are compared, as the monotonic one may not advance during a
+ * suspension.
  */
 export class LoopWatch {
   readonly #clocks: Clocks;
-  readonly #onTurn: LatenessListener;
-  #steadyAt: number;
-  #timeOfDayAt: number;
+  readonly #onHeartbeat: DelayListener;
+  #monotonicAt: number;
+  #systemTimeAt: number;
   #lastLateMs = 0;
   #timer: NodeJS.Timeout | undefined;
 
   /**
-   * @param clocks - the clocks; the system's unless a test gives others
-   * @param onTurn - called at each trace, with how much later it was left than it should have been
+   * @param clocks - the clocks; tests replace those of the system
+   * @param onHeartbeat - called at each heartbeat, with its delay
    */
-  constructor(clocks: Clocks = SYSTEM_CLOCKS, onTurn: LatenessListener = () => undefined) {
+  constructor(clocks: Clocks = SYSTEM_CLOCKS, onHeartbeat: DelayListener = () => undefined) {
     this.#clocks = clocks;
-    this.#onTurn = onTurn;
-    this.#steadyAt = clocks.steady();
-    this.#timeOfDayAt = clocks.timeOfDay();
+    this.#onHeartbeat = onHeartbeat;
+    this.#monotonicAt = clocks.monotonic();
+    this.#systemTimeAt = clocks.systemTime();
   }
 
   /**
-   * Begins to watch. After a stop the overdue timer runs before a signal that
-   * waits is heard, and would wipe out the trace of the gap; what is put off to
-   * the end of the loop's turn comes after it.
+   * Starts monitoring. After a pause of the process, the overdue timer runs before the pending signal is handled; a
+   * heartbeat recorded in the timer itself would hide the pause. setImmediate records it after the signal.
    */
   start(): void {
-    this.#timer = setInterval(() => setImmediate(() => this.turn()), TURN_EVERY_MS);
+    this.#timer = setInterval(() => setImmediate(() => this.recordHeartbeat()), HEARTBEAT_INTERVAL_MS);
   }
 
-  /** Ends watching. */
+  /** Stops monitoring. */
   stop(): void {
     clearInterval(this.#timer);
   }
 
-  /** The event loop is alive. */
-  turn(): void {
-    const now = this.#clocks.steady();
-    this.#lastLateMs = Math.max(0, now - this.#steadyAt - TURN_EVERY_MS);
-    this.#onTurn(this.#lastLateMs);
-    this.#steadyAt = now;
-    this.#timeOfDayAt = this.#clocks.timeOfDay();
+  /** Records that the event loop is running. */
+  recordHeartbeat(): void {
+    const now = this.#clocks.monotonic();
+    this.#lastLateMs = Math.max(0, now - this.#monotonicAt - HEARTBEAT_INTERVAL_MS);
+    this.#onHeartbeat(this.#lastLateMs);
+    this.#monotonicAt = now;
+    this.#systemTimeAt = this.#clocks.systemTime();
   }
 
   /**
-   * What is heard now may have lain in its socket for the last turn of the event loop and this one.
+   * Data that is read now may have been pending in its socket during the last heartbeat interval and the current one.
    *
-   * @returns how late either is, whichever is later, in milliseconds
+   * @returns delay of the last heartbeat or of the one that is due, whichever is larger, in milliseconds
    */
   get lateMs(): number {
-    return Math.max(this.#lastLateMs, this.#clocks.steady() - this.#steadyAt - TURN_EVERY_MS);
+    return Math.max(this.#lastLateMs, this.#clocks.monotonic() - this.#monotonicAt - HEARTBEAT_INTERVAL_MS);
   }
 
-  /** @returns earliest instant of the steady clock, in milliseconds, at which a signal heard now may have come */
-  signalledFrom(): number {
-    const now = this.#clocks.steady();
-    const stillMs = Math.max(now - this.#steadyAt, this.#clocks.timeOfDay() - this.#timeOfDayAt);
-    return stillMs > STOOD_STILL_MS ? now - stillMs : now;
+  /** @returns earliest instant of the monotonic clock, in milliseconds, at which a signal received now may have been sent */
+  earliestSignalAt(): number {
+    const now = this.#clocks.monotonic();
+    const silentMs = Math.max(now - this.#monotonicAt, this.#clocks.systemTime() - this.#systemTimeAt);
+    return silentMs > PAUSE_MS ? now - silentMs : now;
   }
 }
--- a/packages/gateway/src/metrics.ts
+++ b/packages/gateway/src/metrics.ts
@@ -5,14 +5,14 @@
   Request = "request_milliseconds",
   FirstEvent = "first_event_milliseconds",
   StoreCall = "store_call_milliseconds",
-  /** How much later than it should the event loop had its turn, several times a second. */
+  /** Delay of the event loop, sampled several times a second. */
   LoopLate = "event_loop_late_milliseconds",
 }
 
-/** Largest duration, in milliseconds, and digits. */
+/** Maximum duration in milliseconds, and precision of the histograms. */
 const BOUNDS: metrics.HistogramBounds = { largest: 600_000, significantDigits: 2 };
 
-/** Counters and histograms of the gateway; a duration is told from its first record on. */
+/** Counters and histograms of the gateway; a duration is reported once it has been recorded for the first time. */
 export class Metrics extends metrics.Metrics<Duration> {
   constructor() {
     super(BOUNDS);
--- a/packages/gateway/src/pendingReads.ts
+++ b/packages/gateway/src/pendingReads.ts
@@ -1,13 +1,14 @@
-/** A step that waits for the sockets' turn. */
+/** A step that is deferred until pending socket reads have been handled. */
 export class DeferredStep {
   #timer: NodeJS.Immediate | undefined;
 
   /**
-   * Puts a step off until all that lay in the sockets has been heard. A late event loop hears things in the order in
-   * which they came, so a step that follows from an older one is taken before the newer one that forbids it is heard.
-   * Two turns, as a connection's last bytes and its end are heard in two.
+   * Defers a step until everything that was pending in the sockets has been handled. A lagging event loop handles events
+   * in the order in which they came, so a step that follows from an older event would run before a newer event that
+   * forbids it is handled. Waits for two iterations of the event loop, as the last bytes of a connection and its end are
+   * reported in separate iterations.
    *
-   * @param step - called then
+   * @param step - called afterwards
    */
   constructor(step: () => void) {
     this.#timer = setImmediate(() => {
@@ -18,7 +19,7 @@
     });
   }
 
-  /** @returns whether the step had not been taken; it never will be then */
+  /** @returns whether the step had not run yet; it never runs then */
   cancel(): boolean {
     if (this.#timer === undefined) return false;
     clearImmediate(this.#timer);
@@ -27,7 +28,7 @@
   }
 }
 
-/** @returns settles once all that lay in the sockets has been heard */
+/** @returns a promise that resolves once everything that was pending in the sockets has been handled */
 export function handled(): Promise<void> {
   return new Promise((resolve) => {
     new DeferredStep(resolve);
--- a/packages/gateway/src/requestEnd.ts
+++ b/packages/gateway/src/requestEnd.ts
@@ -9,41 +9,41 @@
 const UNAVAILABLE = 503;
 const GATEWAY_TIMEOUT = 504;
 
-/** Outcome in the log of a request whose time is up. */
+/** Outcome in the log of a request whose deadline has passed. */
 const TIMED_OUT = "timed-out";
 
-/** Status in the log of a request whose caller left without an answer. */
+/** Status in the log of a request whose caller disconnected before its answer was complete. */
 const NO_STATUS = 0;
 
-/** Times after which a rejected caller may come back, in milliseconds; drawn between them so that they spread. */
-const RETURN_AFTER_MS = { least: 150, most: 450 };
+/** Range of the retry delay of rejected callers, in milliseconds; it is drawn at random so that retries spread out. */
+const RETRY_DELAY_MS = { least: 150, most: 450 };
 
 const MS_PER_SECOND = 1_000;
 
-/** The one end of a request: its final answer, or its caller's leaving. */
+/** Ends a request once: with its final answer, or because its caller disconnected. */
 export class RequestEnd {
   readonly #context: contexts.ServingContext;
   readonly #served: servedRequests.ServedRequest;
   readonly #answer: callerAnswers.CallerAnswer;
-  readonly #onOver: () => void;
+  readonly #onEnded: () => void;
   #over = false;
 
   /**
-   * @param context - what serving needs
+   * @param context - dependencies shared by all requests
    * @param served - the request
-   * @param answer - takes the answer
-   * @param onOver - called once at the end, to stop what still runs for the request
+   * @param answer - the answer to the caller
+   * @param onEnded - called once at the end, to stop what still runs for the request
    */
   constructor(
     context: contexts.ServingContext,
     served: servedRequests.ServedRequest,
     answer: callerAnswers.CallerAnswer,
-    onOver: () => void,
+    onEnded: () => void,
   ) {
     this.#context = context;
     this.#served = served;
     this.#answer = answer;
-    this.#onOver = onOver;
+    this.#onEnded = onEnded;
   }
 
   /** @returns whether the request has ended */
@@ -51,33 +51,33 @@
     return this.#over;
   }
 
-  /** @returns whether a part of the answer has left */
+  /** @returns whether a part of the answer has been sent to the caller */
   get hasBegun(): boolean {
     return this.#answer.state !== callerAnswers.AnswerState.Open;
   }
 
-  /** The caller has left. */
+  /** Ends the request because the caller has disconnected. */
   callerLeft(): void {
     if (this.#over) return;
     this.#finish("caller-left", NO_STATUS);
   }
 
   /**
-   * An endpoint's whole answer is the caller's.
+   * Forwards the complete answer of an endpoint to the caller.
    *
-   * @param status - its status
-   * @param headers - its headers
-   * @param body - its whole body
-   * @param now - when it came, in milliseconds
+   * @param status - HTTP status
+   * @param headers - the endpoint's headers
+   * @param body - the complete body
+   * @param now - instant at which the answer came, in milliseconds
    */
-  pass(status: number, headers: sendings.AnswerHeaders, body: Buffer, now: number): void {
+  forward(status: number, headers: sendings.AnswerHeaders, body: Buffer, now: number): void {
     this.#context.metrics.record(metricsModule.Duration.Request, now - this.#served.caller.arrivedAt);
-    this.#answer.pass(status, headers, body);
+    this.#answer.forward(status, headers, body);
     this.#context.suspects.noteCleanRun(this.#served);
     this.#finish("answered", status);
   }
 
-  /** The caller's stream is complete. */
+  /** Ends the caller's stream as complete. */
   endStream(): void {
     this.#answer.endStream();
     this.#context.suspects.noteCleanRun(this.#served);
@@ -85,58 +85,58 @@
   }
 
   /**
-   * Gives the request up. One that has not run is told when to come back; one
-   * that may have run is never told that it has not.
+   * Gives the request up. Only a request that cannot have run is answered as not run, with the time after which to retry;
+   * one that may have run gets a 502.
    *
-   * @param reason - why, for the log
-   * @param returnAfterMs - time after which the caller may come back in milliseconds, or undefined for the usual one
+   * @param reason - outcome in the log
+   * @param retryAfterMs - time after which the caller may retry, in milliseconds, or undefined for the default range
    */
-  reject(reason: string, returnAfterMs?: number): void {
+  reject(reason: string, retryAfterMs?: number): void {
     if (this.#served.mayHaveRun) {
-      this.fail(BAD_GATEWAY, reason, "the request may have run and can't be sent again");
+      this.fail(BAD_GATEWAY, reason, "the request may have run and cannot be sent again");
       return;
     }
-    const spread = RETURN_AFTER_MS.most - RETURN_AFTER_MS.least;
-    const afterMs = returnAfterMs ?? RETURN_AFTER_MS.least + this.#context.random.next() * spread;
-    const seconds = (afterMs / MS_PER_SECOND).toFixed(3);
-    this.fail(UNAVAILABLE, reason, "the request has not run; come back after Retry-After", [
+    const spread = RETRY_DELAY_MS.most - RETRY_DELAY_MS.least;
+    const delayMs = retryAfterMs ?? RETRY_DELAY_MS.least + this.#context.random.next() * spread;
+    const seconds = (delayMs / MS_PER_SECOND).toFixed(3);
+    this.fail(UNAVAILABLE, reason, "the request has not run; retry after Retry-After", [
       this.#context.format.retryAfterHeader,
       seconds,
     ]);
   }
 
   /**
-   * The time is up.
+   * Ends the request because its deadline has passed.
    *
    * @param mayHaveRun - whether a send may have run the request
    */
   timeOut(mayHaveRun: boolean): void {
-    if (mayHaveRun) this.fail(GATEWAY_TIMEOUT, TIMED_OUT, "the time is up; the request may have run");
+    if (mayHaveRun) this.fail(GATEWAY_TIMEOUT, TIMED_OUT, "the deadline has passed; the request may have run");
     else this.reject(TIMED_OUT);
   }
 
   /**
-   * Gives an answer of the daemon's own; a stream that has begun is broken off instead.
+   * Ends the request with an error answer of the daemon itself; a stream that has begun is aborted instead.
    *
-   * @param status - its status
-   * @param reason - why, for the log
-   * @param detail - what happened and what to do, for people
-   * @param headers - names and values by turns
+   * @param status - HTTP status
+   * @param reason - outcome in the log
+   * @param detail - text for people: what happened and what to do
+   * @param headers - alternating names and values
    */
   fail(status: number, reason: string, detail: string, headers: readonly string[] = []): void {
     if (this.#over) return;
-    if (this.#answer.state === callerAnswers.AnswerState.Streaming) this.#answer.breakOff();
+    if (this.#answer.state === callerAnswers.AnswerState.Streaming) this.#answer.abort();
     else this.#answer.refuse(status, detail, headers);
     this.#finish(reason, status);
   }
 
   #finish(outcome: string, status: number): void {
-    this.#log(outcome, status);
+    this.#logEnd(outcome, status);
     this.#over = true;
-    this.#onOver();
+    this.#onEnded();
   }
 
-  #log(outcome: string, status: number): void {
+  #logEnd(outcome: string, status: number): void {
     const { caller, route, service, sends, mayHaveRun, progress, id } = this.#served;
     const now = performance.now();
     this.#context.metrics.count(`requests_${outcome.replaceAll("-", "_")}`);
--- a/packages/gateway/src/servedRequest.ts
+++ b/packages/gateway/src/servedRequest.ts
@@ -3,17 +3,17 @@
 import type * as contexts from "./context.js";
 import * as streamProgresses from "./streamProgress.js";
 
-/** Sends of one request whose connection breaks before it is given up. */
-const MOST_BROKEN_SENDS = 2;
+/** Number of sends of one request whose connection may break before the request is given up. */
+const MAX_BROKEN_SENDS = 2;
 
-/** What is known of one request while it is served: where it belongs, what was tried, and whether it may have run. */
+/** State of a request while it is served: its route and service, the endpoints tried, and whether it may have run. */
 export class ServedRequest {
   readonly #context: contexts.ServingContext;
   readonly #caller: callerRequests.CallerRequest;
   readonly #body: Buffer;
   readonly #progress = new streamProgresses.StreamProgress();
   readonly #deadlineAt: number;
-  readonly #tried = new Set<string>();
+  readonly #triedEndpoints = new Set<string>();
   #route: serving.Route;
   #service = "";
   #fingerprints: serving.Fingerprints | undefined;
@@ -23,10 +23,10 @@
   #mayHaveRun = false;
 
   /**
-   * @param context - what serving needs
+   * @param context - dependencies shared by all requests
    * @param caller - the caller's request
-   * @param route - its route
-   * @param body - its whole body
+   * @param route - the route that matched
+   * @param body - the complete body
    */
   constructor(
     context: contexts.ServingContext,
@@ -38,8 +38,8 @@
     this.#caller = caller;
     this.#route = route;
     this.#body = body;
-    const patience = Math.min(caller.headers.deadlineMs ?? route.timeoutMs, route.timeoutMs);
-    this.#deadlineAt = caller.arrivedAt + patience;
+    const timeoutMs = Math.min(caller.headers.deadlineMs ?? route.timeoutMs, route.timeoutMs);
+    this.#deadlineAt = caller.arrivedAt + timeoutMs;
   }
 
   /** @returns the request as the caller sent it */
@@ -47,68 +47,68 @@
     return this.#caller;
   }
 
-  /** @returns its whole body */
+  /** @returns the complete body */
   get body(): Buffer {
     return this.#body;
   }
 
-  /** @returns its id */
+  /** @returns the request id */
   get id(): string {
     return this.#caller.headers.requestId;
   }
 
-  /** @returns what it is called wherever its retries are compared */
+  /** @returns fingerprints by which retries of the same request are recognised, computed on first use */
   get fingerprints(): serving.Fingerprints {
     const { method, host, target, callerAddress } = this.#caller;
     this.#fingerprints ??= serving.fingerprintsOf({ method, host, target, callerAddress, body: this.#body });
     return this.#fingerprints;
   }
 
-  /** @returns how far its stream has come */
+  /** @returns progress of the request's stream */
   get progress(): streamProgresses.StreamProgress {
     return this.#progress;
   }
 
-  /** @returns its route in the configuration in force */
+  /** @returns the route, as followConfiguration() last found it */
   get route(): serving.Route {
     return this.#route;
   }
 
-  /** @returns the service that it was drawn for */
+  /** @returns name of the chosen service */
   get service(): string {
     return this.#service;
   }
 
-  /** @returns sends that count so far */
+  /** @returns number of sends that count towards the route's attempts */
   get sends(): number {
     return this.#sends;
   }
 
-  /** @returns whether any send of it may have run */
+  /** @returns whether any send may have run the request */
   get mayHaveRun(): boolean {
     return this.#mayHaveRun;
   }
 
-  /** @returns instant at which its time is up, in milliseconds */
+  /** @returns deadline of the request, in milliseconds */
   get deadlineAt(): number {
     return this.#deadlineAt;
   }
 
-  /** @returns time that is left, in milliseconds */
+  /** @returns time until the deadline, in milliseconds; negative once it has passed */
   get remainingMs(): number {
     return this.#deadlineAt - performance.now();
   }
 
-  /** Draws the service by the route's shares. */
+  /** Chooses the service at random, weighted by the route's shares. */
   chooseService(): void {
     const service = serving.drawService(this.#route, this.#context.random.next());
     this.#service = service ?? "";
   }
 
   /**
-   * A configuration that came since may have moved or removed the route.
+   * Updates route and service, as a new configuration may have moved or removed the route.
    *
-   * @returns whether a route still leads somewhere
+   * @returns whether a route still matches the request
    */
   followConfiguration(): boolean {
     const route = this.#context.view.table?.find(this.#caller.host, this.#caller.path);
@@ -120,55 +120,58 @@
 
   /**
    * @param endpointId - an endpoint
-   * @returns whether the request was sent there
+   * @returns whether the endpoint is marked as tried
    */
   wasTried(endpointId: string): boolean {
-    return this.#tried.has(endpointId);
+    return this.#triedEndpoints.has(endpointId);
   }
 
-  /** @param endpointId - the endpoint that the request is sent to; it isn't chosen again */
+  /** @param endpointId - endpoint that the request is sent to; it is not chosen again */
   markTried(endpointId: string): void {
-    this.#tried.add(endpointId);
+    this.#triedEndpoints.add(endpointId);
   }
 
-  /** @param endpointId - an endpoint that may be chosen again */
+  /** @param endpointId - endpoint that may be chosen again */
   unmarkTried(endpointId: string): void {
-    this.#tried.delete(endpointId);
+    this.#triedEndpoints.delete(endpointId);
   }
 
-  /** One more send counts. */
+  /** Counts one more send. */
   countSend(): void {
     this.#sends++;
   }
 
-  /** A send that was counted doesn't count. */
+  /** Takes back the count of a send. */
   uncountSend(): void {
     this.#sends--;
   }
 
-  /** From now on, the request may have run. */
+  /** Records that the request may have run from now on. */
   noteMayHaveRun(): void {
     this.#mayHaveRun = true;
   }
 
   /**
-   * A send broke, and its endpoint may have ended under it. Each further send risks another endpoint with all that runs
-   * there, so a request that is suspected already, or whose second send broke, is not sent again.
+   * Records that the connection of a send broke, possibly because the endpoint crashed. Each further send risks another
+   * endpoint and everything that runs there, so a request that is already suspected, or whose second send broke, is not
+   * sent again.
    *
-   * @param isSuspected - whether an endpoint has ended under it before
+   * @param isSuspected - whether an endpoint has crashed under this request before
    */
   noteBroken(isSuspected: boolean): void {
     this.#brokenSends++;
-    if (isSuspected || this.#brokenSends >= MOST_BROKEN_SENDS) this.#mayBeSentAgain = false;
+    if (isSuspected || this.#brokenSends >= MAX_BROKEN_SENDS) this.#mayBeSentAgain = false;
   }
 
   /**
-   * @param fate - what became of a send that gave no answer to pass on
-   * @returns what follows
+   * Decides how the request continues after a send without a usable answer.
+   *
+   * @param fate - whether that send may have run the request
+   * @returns the next step
    */
   decideNextStep(fate: serving.SendFate): serving.NextStep {
     const { view, budgets } = this.#context;
-    const others = view.directory.serving(this.#service).some((endpoint) => !this.#tried.has(endpoint.id));
+    const hasUntried = view.directory.serving(this.#service).some((endpoint) => !this.#triedEndpoints.has(endpoint.id));
     return serving.nextStep({
       fate,
       mayHaveRun: this.#mayHaveRun,
@@ -177,7 +180,7 @@
       sends: this.#sends,
       attempts: this.#mayBeSentAgain ? this.#route.attempts : 0,
       remainingMs: this.remainingMs,
-      otherEndpoint: others,
+      otherEndpoint: hasUntried,
       spendRepeat: () => budgets.of(this.#service).spend(performance.now(), this.#context.liveDaemons()),
     });
   }
--- a/packages/gateway/src/settings.ts
+++ b/packages/gateway/src/settings.ts
@@ -1,12 +1,12 @@
 import * as serving from "@camphorcourse/serving";
 
-/** IP and port. */
+/** IP address and port of a socket. */
 export interface SocketAddress {
   readonly host: string;
   readonly port: number;
 }
 
-/** The settings of a gateway, checked. */
+/** The validated settings of a gateway. */
 export interface GatewaySettings {
   readonly vm: string;
   readonly dataCentre: string;
@@ -18,14 +18,14 @@
   readonly readiness: SocketAddress;
   readonly addresses: SocketAddress;
   readonly metrics: SocketAddress;
-  /** Address for the other daemons: Connect calls over TCP, work figures over UDP. */
+  /** Address for the other daemons: Connect calls over TCP, load figures over UDP. */
   readonly peers: SocketAddress;
   readonly retryBounds: serving.RetryBounds;
-  /** Time from the request to stop until the process is ended by force, in milliseconds. */
+  /** Time from the stop signal until the process is killed, in milliseconds. */
   readonly stopGraceMs: number;
-  /** Longest time that callers may keep an answer with addresses, in seconds. */
+  /** Maximum time for which callers may cache an address list, in seconds. */
   readonly addressTtlSeconds: number;
-  /** Time for which the right to give orders is granted, in milliseconds. */
+  /** Duration of the lease that allows a daemon to issue role orders, in milliseconds. */
   readonly orderLeaseMs: number;
   readonly logLevel: string;
 }
--- a/packages/gateway/src/sideServers.ts
+++ b/packages/gateway/src/sideServers.ts
@@ -4,9 +4,11 @@
 import type * as settingsModule from "./settings.js";
 
 /**
- * @param app - what answers
+ * Starts an HTTP server.
+ *
+ * @param app - handles its requests
  * @param address - where to listen
- * @returns the server, once it listens
+ * @returns the server, once it is listening
  */
 export function listen(app: hono.Hono, address: settingsModule.SocketAddress): Promise<http.Server> {
   return new Promise((resolve) => {
--- a/packages/gateway/src/streamProgress.ts
+++ b/packages/gateway/src/streamProgress.ts
@@ -1,4 +1,4 @@
-/** How far a stream has come, for its log line and for what follows when it breaks. */
+/** Progress of a stream: logged at the end of its request, and used to resume the stream when a send breaks. */
 export class StreamProgress {
   #firstEventAt: number | undefined;
   #lastEventAt = 0;
@@ -6,8 +6,8 @@
   #events = 0;
   #longestGapMs = 0;
 
-  /** @returns whether anything was passed on to the caller */
-  get begun(): boolean {
+  /** @returns whether any event was forwarded to the caller */
+  get hasBegun(): boolean {
     return this.#firstEventAt !== undefined;
   }
 
@@ -16,27 +16,29 @@
     return this.#lastEventAt;
   }
 
-  /** @returns id of the last event that has one; a resumed stream goes on after it */
+  /** @returns id of the last event that has one; a resumed stream continues after it */
   get lastEventId(): string | undefined {
     return this.#lastEventId;
   }
 
-  /** @returns events so far */
+  /** @returns number of events so far */
   get events(): number {
     return this.#events;
   }
 
-  /** @returns mean pause between two events in milliseconds, once there were two */
+  /** @returns mean time between two events in milliseconds, once there were two */
   get meanPauseMs(): number | undefined {
     if (this.#firstEventAt === undefined || this.#events < 2) return undefined;
     return (this.#lastEventAt - this.#firstEventAt) / (this.#events - 1);
   }
 
   /**
+   * Records that an event was forwarded.
+   *
    * @param id - the event's id, if it has one
    * @param now - current instant in milliseconds
    */
-  note(id: string | undefined, now: number): void {
+  recordEvent(id: string | undefined, now: number): void {
     if (this.#firstEventAt === undefined) this.#firstEventAt = now;
     else this.#longestGapMs = Math.max(this.#longestGapMs, now - this.#lastEventAt);
     this.#events++;
@@ -45,9 +47,9 @@
   }
 
   /**
-   * @param arrivedAt - when the request came, in milliseconds
+   * @param arrivedAt - arrival of the request, in milliseconds
    * @param now - current instant in milliseconds
-   * @returns what the request's last log line tells of the stream
+   * @returns the fields of the request-end log line that describe the stream
    */
   logFields(arrivedAt: number, now: number): Record<string, number | undefined> {
     return {
--- a/packages/gateway/tests/eventSplitter.test.ts
+++ b/packages/gateway/tests/eventSplitter.test.ts
@@ -3,7 +3,7 @@
 import * as assert from "uvu/assert";
 import * as eventSplitters from "../src/eventSplitter.js";
 
-const suite = uvu.suite("cutting a stream into events");
+const suite = uvu.suite("splitting a stream into events");
 
 const event = fastCheck
   .record({
@@ -12,32 +12,32 @@
     crlf: fastCheck.boolean(),
   })
   .map(({ id, data, crlf }) => {
-    const end = crlf ? "\r\n" : "\n";
-    return { id: String(id), text: `id: ${id}${end}data: ${data}${end}${end}` };
+    const lineEnd = crlf ? "\r\n" : "\n";
+    return { id: String(id), text: `id: ${id}${lineEnd}data: ${data}${lineEnd}${lineEnd}` };
   });
 
-// The network cuts the stream anywhere, also inside an id. A part of an event that went to the caller could not
-// be taken back when the stream goes on at another engine.
-suite("events come whole and once, however the bytes are cut", () => {
+// Guards against forwarding a part of an event: the network splits the stream anywhere, also inside an id, and a part that
+// was forwarded could not be taken back when the stream is resumed on another engine.
+suite("each event is returned complete and once, however the bytes are split", () => {
   fastCheck.assert(
     fastCheck.property(
       fastCheck.array(event, { maxLength: 8 }),
       fastCheck.array(fastCheck.integer({ min: 1, max: 7 }), { minLength: 1, maxLength: 30 }),
-      (events, cuts) => {
+      (events, sizes) => {
         const bytes = Buffer.from(events.map((each) => each.text).join("") + "id: 7\nda");
         const splitter = new eventSplitters.EventSplitter();
-        const seen: eventSplitters.StreamEvent[] = [];
+        const received: eventSplitters.StreamEvent[] = [];
         for (let at = 0, index = 0; at < bytes.length; index++) {
-          const size = cuts[index % cuts.length] ?? 1;
-          seen.push(...splitter.push(bytes.subarray(at, at + size)));
+          const size = sizes[index % sizes.length] ?? 1;
+          received.push(...splitter.push(bytes.subarray(at, at + size)));
           at += size;
         }
         assert.equal(
-          seen.map((each) => each.bytes.toString()),
+          received.map((each) => each.bytes.toString()),
           events.map((each) => each.text),
         );
         assert.equal(
-          seen.map((each) => each.id),
+          received.map((each) => each.id),
           events.map((each) => each.id),
         );
         assert.is(splitter.unfinishedBytes, 8);
--- a/packages/gateway/tests/helpers/exchangeHarness.ts
+++ b/packages/gateway/tests/helpers/exchangeHarness.ts
@@ -18,39 +18,39 @@
 
 const SEED = 5;
 
-/** Age of the process in milliseconds: a young one has no repeats to spend. */
+/** Age of the process in milliseconds: the retry budget of a young process is empty. */
 const PROCESS_AGE_MS = 10_000;
 
-/** One send, as the test sees it: it answers by the receiver. */
-export interface SeenSend {
+/** A send that was recorded instead of sent; the test answers it through the receiver. */
+export interface RecordedSend {
   readonly endpoint: serving.Endpoint;
   readonly path: string;
   readonly receiver: sendings.AnswerReceiver;
   cancelled: boolean;
 }
 
-/** Keeps sends instead of sending. */
-class KeepingClient extends endpointClients.EndpointClient {
-  readonly sends: SeenSend[] = [];
-  /** Thrown instead of the next send. */
-  fault: Error | undefined;
+/** Records sends instead of sending them. */
+class RecordingClient extends endpointClients.EndpointClient {
+  readonly sends: RecordedSend[] = [];
+  /** Error to throw from the next send. */
+  nextError: Error | undefined;
 
   override send(
     endpoint: serving.Endpoint,
     request: sendings.OutgoingRequest,
     receiver: sendings.AnswerReceiver,
   ): sendings.Sending {
-    const { fault } = this;
-    this.fault = undefined;
-    if (fault !== undefined) throw fault;
-    const seen: SeenSend = { endpoint, path: request.path, receiver, cancelled: false };
-    this.sends.push(seen);
+    const { nextError } = this;
+    this.nextError = undefined;
+    if (nextError !== undefined) throw nextError;
+    const recorded: RecordedSend = { endpoint, path: request.path, receiver, cancelled: false };
+    this.sends.push(recorded);
     return {
       hasLeft: true,
       leftAt: performance.now(),
       unsentBytes: 0,
       cancel: () => {
-        seen.cancelled = true;
+        recorded.cancelled = true;
       },
       pause: () => undefined,
       resume: () => undefined,
@@ -58,16 +58,16 @@
   }
 }
 
-/** An answer of the daemon's own. */
+/** An error answer of the daemon itself. */
 export interface Refusal {
   readonly status: number;
   readonly headers: readonly string[];
 }
 
-/** Notes what the caller is told. */
-class NotingAnswer extends callerAnswers.CallerAnswer {
+/** Records the answer to the caller. */
+class RecordingAnswer extends callerAnswers.CallerAnswer {
   readonly refusals: Refusal[] = [];
-  brokenOff = 0;
+  aborts = 0;
 
   constructor() {
     super(new http.ServerResponse(new http.IncomingMessage(new net.Socket())), () => false);
@@ -78,9 +78,9 @@
     super.refuse(status, detail, headers);
   }
 
-  override breakOff(): void {
-    this.brokenOff++;
-    super.breakOff();
+  override abort(): void {
+    this.aborts++;
+    super.abort();
   }
 }
 
@@ -124,7 +124,7 @@
   logLevel: "info",
 };
 
-/** Observations after which an estimate has settled. */
+/** Number of observations after which an estimate has converged. */
 const OBSERVATIONS = 100;
 
 const PROMPT: serving.Prompt = {
@@ -140,7 +140,7 @@
 const LIMITS = { headerBytes: 16_384, bodyBytes: 100_000, headerTimeoutMs: 1_000, idleTimeoutMs: 5_000 };
 const ENGINE = { slots: 8, memoryTokens: 100_000, handleMs: 5_000 };
 
-function route(requestClass: serving.RequestClass): serving.Route {
+function createRoute(requestClass: serving.RequestClass): serving.Route {
   return {
     name: "route",
     host: "desk",
@@ -157,12 +157,12 @@
   };
 }
 
-/** One request of a caller, with endpoints whose answers the test gives. */
-export class ExchangeStand {
-  readonly answer = new NotingAnswer();
+/** Serves one request of a caller, with endpoints whose answers the test provides. */
+export class ExchangeHarness {
+  readonly answer = new RecordingAnswer();
   readonly exchange: exchanges.Exchange;
   readonly #lines: string[] = [];
-  readonly #client = new KeepingClient(
+  readonly #client = new RecordingClient(
     () => undefined,
     () => false,
   );
@@ -170,19 +170,19 @@
 
   /**
    * @param requestClass - class of the request; a stream carries a prompt
-   * @param roles - roles of the endpoints that there are
-   * @param deadlineMs - time for which the caller waits in milliseconds, if it says so
+   * @param roles - engine role of each endpoint
+   * @param deadlineMs - deadline that the caller sets, in milliseconds, if any
    */
   constructor(requestClass: serving.RequestClass, roles: readonly serving.EngineRole[], deadlineMs?: number) {
     const view = new fleetViews.FleetView();
-    const ownRoute = route(requestClass);
+    const route = createRoute(requestClass);
     const engine = requestClass === serving.RequestClass.Stream ? ENGINE : undefined;
     const services = [{ name: "service", maxConnections: 100, engine }];
-    view.configure({ version: 1, routes: [ownRoute], services, limits: LIMITS }, new Uint8Array(), 1);
+    view.configure({ version: 1, routes: [route], services, limits: LIMITS }, new Uint8Array(), 1);
     for (const [index, role] of roles.entries()) {
       const address = `127.0.0.1:${index + 1}`;
-      const known = { service: "service", address, dataCentre: "a", slots: 8, role, leaving: false };
-      view.directory.put({ id: `e${index}`, ...known }, index + 1);
+      const properties = { service: "service", address, dataCentre: "a", slots: 8, role, leaving: false };
+      view.directory.put({ id: `e${index}`, ...properties }, index + 1);
     }
     const sink = { writableLength: 0, write: (line: string) => this.#lines.push(line) > 0 };
     this.#context = {
@@ -225,44 +225,44 @@
       callerAddress: "127.0.0.1",
       arrivedAt: performance.now(),
     };
-    this.exchange = new exchanges.Exchange(this.#context, request, ownRoute, Buffer.from("body"), this.answer);
+    this.exchange = new exchanges.Exchange(this.#context, request, route, Buffer.from("body"), this.answer);
   }
 
-  /** Decode engines are seen to take seconds for a short prompt, so that prompts are read apart wherever they can be. */
-  slowDecoding(): void {
+  /** Makes decode engines appear to take seconds for a short prompt, so that a separate prefill is chosen wherever possible. */
+  slowDownDecodeEngines(): void {
     const observation = { unreadTokens: 1_000, cachedTokens: 0, tokensWaiting: 0, streams: 0, tookMs: 5_000 };
     for (let index = 0; index < OBSERVATIONS; index++) {
       this.#context.speeds.of("service").learnReading(serving.EngineRole.Decode, observation);
     }
   }
 
-  /** @param fault - thrown instead of the next send */
-  failNextSend(fault: Error): void {
-    this.#client.fault = fault;
+  /** @param error - thrown from the next send */
+  failNextSend(error: Error): void {
+    this.#client.nextError = error;
   }
 
-  /** @returns all sends so far, in their order */
-  get sends(): readonly SeenSend[] {
+  /** @returns all sends so far, in order */
+  get sends(): readonly RecordedSend[] {
     return this.#client.sends;
   }
 
-  /** @returns the lines that tell of the request's end */
+  /** @returns the request-end log lines */
   get endLines(): string[] {
     return this.#lines.filter((line) => line.includes("event=request-end"));
   }
 
-  /** @returns requests that the board takes for running, at all endpoints */
+  /** @returns number of requests that are counted as running, on all endpoints */
   get running(): number {
     return [...this.#context.board.ownWork().values()].reduce((sum, work) => sum + work.running, 0);
   }
 
   /**
-   * @param index - the send
+   * @param index - position among the recorded sends, from 0
    * @returns the send
    */
-  send(index: number): SeenSend {
-    const seen = this.#client.sends[index];
-    if (seen === undefined) throw new Error(`there is no send ${index}`);
-    return seen;
+  send(index: number): RecordedSend {
+    const recorded = this.#client.sends[index];
+    if (recorded === undefined) throw new Error(`there is no send ${index}`);
+    return recorded;
   }
 }
--- a/packages/gateway/tests/helpers/freePort.ts
+++ b/packages/gateway/tests/helpers/freePort.ts
@@ -3,21 +3,21 @@
 
 const HOST = "127.0.0.1";
 
-/** Ports below those that the system gives to outgoing connections, so that none of these takes one meanwhile. */
+/** Port range below the ephemeral ports, so that no outgoing connection takes a port between the check and its use. */
 const PORTS = { first: 30_000, count: 2_000 };
 
 let nextPort = PORTS.first + (process.pid % PORTS.count);
 
-/** @returns a port that is free now, for calls and for datagrams */
+/** @returns a port that is currently free for TCP and UDP */
 export async function freePort(): Promise<number> {
   for (;;) {
     const port = nextPort;
     nextPort = PORTS.first + ((nextPort + 1 - PORTS.first) % PORTS.count);
-    if ((await isFreeForCalls(port)) && (await isFreeForDatagrams(port))) return port;
+    if ((await isFreeForTcp(port)) && (await isFreeForUdp(port))) return port;
   }
 }
 
-function isFreeForCalls(port: number): Promise<boolean> {
+function isFreeForTcp(port: number): Promise<boolean> {
   const server = net.createServer();
   return new Promise((resolve) => {
     server.once("error", () => {
@@ -31,7 +31,7 @@
   });
 }
 
-function isFreeForDatagrams(port: number): Promise<boolean> {
+function isFreeForUdp(port: number): Promise<boolean> {
   const socket = datagrams.createSocket("udp4");
   return new Promise((resolve) => {
     socket.once("error", () => {
--- a/packages/gateway/tests/helpers/stopModel.ts
+++ b/packages/gateway/tests/helpers/stopModel.ts
@@ -1,95 +1,95 @@
 import * as serving from "@camphorcourse/serving";
 import * as loopWatches from "../../src/loopWatch.js";
 
-/** Time from the signal until the process is ended by force, in milliseconds; the signal is sent at instant 0. */
+/** Time from the signal until the process is killed, in milliseconds; the signal is sent at instant 0. */
 export const GRACE_MS = 8_000;
 
-/** Time between two turns of an event loop that is on time and of one that is late, in milliseconds. */
-const TURN_MS = { usual: 25, late: 250 };
+/** Duration of one iteration of an event loop that is on time and of one that lags, in milliseconds. */
+const ITERATION_MS = { usual: 25, late: 250 };
 
-/** Interval at which the event loop leaves its trace, in milliseconds. */
-const TRACE_MS = 200;
+/** Interval of the event loop's heartbeats, in milliseconds. */
+const HEARTBEAT_MS = 200;
 
-/** Time for the last answers to leave, in milliseconds. */
+/** Time for sending the last answers, in milliseconds. */
 const LAST_ANSWERS_MS = 200;
 
-/** What a turn of the event loop does, in any order: where a turn begins after a pause is not known. */
-export enum Step {
+/** Phases of an event loop iteration. They are tried in several orders, as the phase in which a paused loop resumes is not known. */
+export enum Phase {
   Signal = "signal",
   Timers = "timers",
   Sockets = "sockets",
 }
 
-/** One request and what happens around it. */
+/** One request and the conditions under which it is served. */
 export interface Scenario {
-  /** Instant at which the request's head is at the machine, in milliseconds; before 0 it comes before the signal. */
+  /** Instant at which the request's headers reach the machine, in milliseconds; negative before the signal. */
   readonly sentAt: number;
   readonly patienceMs: number;
-  /** Time between head and whole body, in milliseconds. */
+  /** Time between the headers and the end of the body, in milliseconds. */
   readonly bodyMs: number;
-  /** Time for which the prompt is read apart before anything runs, in milliseconds. */
-  readonly readMs: number;
-  /** Time of the run, in milliseconds; infinite where the endpoint never answers. */
+  /** Time of a separate prefill before anything runs, in milliseconds. */
+  readonly prefillMs: number;
+  /** Time of the run, in milliseconds; infinite if the endpoint never answers. */
   readonly runMs: number;
-  /** Whether the answer begins with the run, as a stream's does, or comes whole at its end. */
+  /** Whether the answer begins with the run, as a stream does, or is sent at its end. */
   readonly streams: boolean;
-  /** Whether the connection was open before the signal. */
-  readonly isKept: boolean;
-  /** A pause of the whole process. */
+  /** Whether the request uses a connection that was open before the signal. */
+  readonly isKeptAlive: boolean;
+  /** Start of a pause of the process, in milliseconds. */
   readonly pausedAt: number;
   readonly pausedMs: number;
-  readonly order: readonly Step[];
-  /** Time between two turns of the event loop, in milliseconds. */
-  readonly turnMs: number;
-  /** Whether another request, accepted before the signal, outlasts the process. */
-  readonly isBusy: boolean;
+  readonly phases: readonly Phase[];
+  /** Duration of one iteration of the event loop, in milliseconds. */
+  readonly iterationMs: number;
+  /** Whether another request, accepted before the signal, stays open until the end. */
+  readonly hasOtherRequest: boolean;
 }
 
-/** What became of the request. */
+/** How the request ended. */
 export enum Outcome {
-  /** Its connection was refused, or it was never sent as the process had ended. */
+  /** Its connection was refused, or the process had ended before it was sent. */
   NotConnected = "not-connected",
   Answered = "answered",
   DeadlinePassed = "deadline-passed",
-  /** Told that it has not run. */
+  /** Answered as not run. */
   Rejected = "rejected",
-  /** Told that its answer is lost. */
+  /** Answered as possibly run, with its answer lost. */
   Failed = "failed",
-  /** Its answer was broken off. */
+  /** Its answer was cut. */
   Cut = "cut",
-  /** Its connection was broken, and it was never read. */
+  /** Its connection broke before it was read. */
   Unread = "unread",
 }
 
-/** A scenario as it was played. */
-export interface Played {
+/** Result of a simulated scenario. */
+export interface Result {
   readonly outcome: Outcome;
-  /** Whether it was accepted after the signal had been heard. */
+  /** Whether the request was accepted after the signal had been handled. */
   readonly acceptedWhileStopping: boolean;
   readonly hasRun: boolean;
-  /** Instant at which the process was gone, in milliseconds. */
+  /** Instant at which the process ended, in milliseconds. */
   readonly exitAt: number;
   readonly wasKilled: boolean;
 }
 
 enum State {
-  Coming,
-  /** The head is read, the body is not whole. */
+  NotReceived,
+  /** The headers are read, the body is incomplete. */
   ReadingBody,
-  /** Accepted; its prompt is being read. */
+  /** Accepted; in prefill. */
   Accepted,
   Running,
   Ended,
 }
 
-/** The process, its event loop, and one request. The stop and the watch over the event loop are the product's own. */
-class Model implements serving.StoppableListener {
+/** Simulates the process, its event loop, and one request, with the real shutdown logic and event loop monitor. */
+class Simulation implements serving.StoppableListener {
   readonly #scenario: Scenario;
   readonly #watch: loopWatches.LoopWatch;
   #now: number;
-  #tracedAt: number;
+  #heartbeatAt: number;
   #stop: serving.PlannedStop | undefined;
-  #state = State.Coming;
+  #state = State.NotReceived;
   #outcome = Outcome.NotConnected;
   #arrivedAt = 0;
   #startedAt = 0;
@@ -104,15 +104,15 @@
 
   constructor(scenario: Scenario) {
     this.#scenario = scenario;
-    this.#now = Math.min(-TRACE_MS, scenario.sentAt, scenario.pausedAt - scenario.turnMs);
-    this.#tracedAt = this.#now;
+    this.#now = Math.min(-HEARTBEAT_MS, scenario.sentAt, scenario.pausedAt - scenario.iterationMs);
+    this.#heartbeatAt = this.#now;
     const clock = (): number => this.#now;
-    this.#watch = new loopWatches.LoopWatch({ steady: clock, timeOfDay: clock });
+    this.#watch = new loopWatches.LoopWatch({ monotonic: clock, systemTime: clock });
   }
 
   get openRequests(): number {
-    const isOpen = this.#state !== State.Coming && this.#state !== State.Ended;
-    return Number(isOpen) + Number(this.#scenario.isBusy);
+    const isOpen = this.#state !== State.NotReceived && this.#state !== State.Ended;
+    return Number(isOpen) + Number(this.#scenario.hasOtherRequest);
   }
 
   closeDoor(): void {
@@ -129,21 +129,21 @@
     if (this.#state === State.Running && !this.#hasBegun) this.#end(Outcome.Failed);
   }
 
-  play(): Played {
+  run(): Result {
     while (!this.#isOver && this.#now < GRACE_MS) {
-      this.#turn();
+      this.#runIteration();
       if (this.#isOver) break;
-      const { pausedAt, pausedMs, turnMs } = this.#scenario;
-      this.#now += turnMs;
-      if (this.#now > pausedAt && this.#now <= pausedAt + turnMs) this.#now += pausedMs;
+      const { pausedAt, pausedMs, iterationMs } = this.#scenario;
+      this.#now += iterationMs;
+      if (this.#now > pausedAt && this.#now <= pausedAt + iterationMs) this.#now += pausedMs;
     }
     const wasKilled = !this.#isOver;
     const exitAt = wasKilled
       ? Math.max(GRACE_MS, this.#now)
       : this.#now + LAST_ANSWERS_MS * Number(this.openRequests > 0);
     if (!wasKilled) this.#endOpen();
-    else if (this.#state !== State.Coming && this.#state !== State.Ended) this.#end(Outcome.Cut);
-    if (this.#state === State.Coming && this.#reaches(exitAt)) this.#outcome = Outcome.Unread;
+    else if (this.#state !== State.NotReceived && this.#state !== State.Ended) this.#end(Outcome.Cut);
+    if (this.#state === State.NotReceived && this.#hasReached(exitAt)) this.#outcome = Outcome.Unread;
     return {
       outcome: this.#outcome,
       acceptedWhileStopping: this.#acceptedWhileStopping,
@@ -153,59 +153,59 @@
     };
   }
 
-  /** Whether the request is at the process by then: a kept connection, or one that came before the door was closed. */
-  #reaches(instant: number): boolean {
-    const { sentAt, isKept } = this.#scenario;
-    return sentAt <= instant && (isKept || sentAt < this.#closedAt);
+  /** Whether the request has reached the process: on an open connection, or on one opened before the listener closed. */
+  #hasReached(instant: number): boolean {
+    const { sentAt, isKeptAlive } = this.#scenario;
+    return sentAt <= instant && (isKeptAlive || sentAt < this.#closedAt);
   }
 
-  #turn(): void {
-    for (const step of this.#scenario.order) {
-      if (step === Step.Signal) this.#hearSignal();
-      else if (step === Step.Timers) this.#runTimers();
+  #runIteration(): void {
+    for (const phase of this.#scenario.phases) {
+      if (phase === Phase.Signal) this.#handleSignal();
+      else if (phase === Phase.Timers) this.#runTimers();
       else this.#readSockets();
       if (this.#isOver) return;
     }
     if (this.#deadlineDue && this.#state !== State.Ended) this.#end(Outcome.DeadlinePassed);
-    if (this.#now - this.#tracedAt >= TRACE_MS) {
-      this.#tracedAt = this.#now;
-      this.#watch.turn();
+    if (this.#now - this.#heartbeatAt >= HEARTBEAT_MS) {
+      this.#heartbeatAt = this.#now;
+      this.#watch.recordHeartbeat();
     }
   }
 
-  #hearSignal(): void {
+  #handleSignal(): void {
     if (this.#now < 0 || this.#stop !== undefined) return;
-    const earliestAt = this.#watch.signalledFrom();
+    const earliestAt = this.#watch.earliestSignalAt();
     this.#stop = new serving.PlannedStop({ earliestAt, heardAt: this.#now, graceMs: GRACE_MS });
   }
 
   #runTimers(): void {
     const isOpen = this.#state === State.Accepted || this.#state === State.Running;
-    if (isOpen && this.#now >= this.#answerBy) this.#deadlineDue = true;
+    if (isOpen && this.#now >= this.#deadlineAt) this.#deadlineDue = true;
     if (this.#stop?.step(this, this.#now) === true) this.#isOver = true;
   }
 
-  get #answerBy(): number {
+  get #deadlineAt(): number {
     return this.#arrivedAt + this.#scenario.patienceMs;
   }
 
   #readSockets(): void {
-    const { sentAt, bodyMs, readMs, runMs, streams } = this.#scenario;
-    if (this.#state === State.Coming && this.#reaches(this.#now)) {
+    const { sentAt, bodyMs, prefillMs, runMs, streams } = this.#scenario;
+    if (this.#state === State.NotReceived && this.#hasReached(this.#now)) {
       this.#arrivedAt = this.#now;
       this.lastRequestAt = this.#now;
       this.#state = State.ReadingBody;
     }
-    if (this.#state === State.ReadingBody && this.#now >= sentAt + bodyMs) this.#decide();
-    if (this.#state === State.Accepted && this.#now >= this.#startedAt + readMs) this.#run();
+    if (this.#state === State.ReadingBody && this.#now >= sentAt + bodyMs) this.#acceptOrReject();
+    if (this.#state === State.Accepted && this.#now >= this.#startedAt + prefillMs) this.#startRun();
     if (this.#state !== State.Running) return;
     if (streams) this.#hasBegun = true;
-    if (this.#now >= this.#startedAt + readMs + runMs) this.#end(Outcome.Answered);
+    if (this.#now >= this.#startedAt + prefillMs + runMs) this.#end(Outcome.Answered);
   }
 
-  #decide(): void {
+  #acceptOrReject(): void {
     const isStopping = this.#stop !== undefined;
-    if (isStopping && !this.#stop?.accepts(this.#answerBy)) {
+    if (isStopping && !this.#stop?.accepts(this.#deadlineAt)) {
       this.#end(Outcome.Rejected);
       return;
     }
@@ -214,8 +214,8 @@
     this.#state = State.Accepted;
   }
 
-  #run(): void {
-    if (this.#now >= this.#answerBy) {
+  #startRun(): void {
+    if (this.#now >= this.#deadlineAt) {
       this.#end(Outcome.DeadlinePassed);
       return;
     }
@@ -236,45 +236,45 @@
 }
 
 /**
- * @param scenario - a request and what happens around it
- * @returns what became of it
+ * @param scenario - a request and the conditions under which it is served
+ * @returns how the request and the process ended
  */
-export function play(scenario: Scenario): Played {
-  return new Model(scenario).play();
+export function simulate(scenario: Scenario): Result {
+  return new Simulation(scenario).run();
 }
 
-const ORDERS: readonly (readonly Step[])[] = [
-  [Step.Timers, Step.Signal, Step.Sockets],
-  [Step.Timers, Step.Sockets, Step.Signal],
-  [Step.Signal, Step.Sockets, Step.Timers],
-  [Step.Sockets, Step.Signal, Step.Timers],
+const PHASE_ORDERS: readonly (readonly Phase[])[] = [
+  [Phase.Timers, Phase.Signal, Phase.Sockets],
+  [Phase.Timers, Phase.Sockets, Phase.Signal],
+  [Phase.Signal, Phase.Sockets, Phase.Timers],
+  [Phase.Sockets, Phase.Signal, Phase.Timers],
 ];
 
-interface Pace {
+interface LoopTiming {
   readonly pausedAt: number;
   readonly pausedMs: number;
-  readonly turnMs: number;
+  readonly iterationMs: number;
 }
 
-const PACES: readonly Pace[] = [
-  ...Object.values(TURN_MS).map((turnMs) => ({ pausedAt: 0, pausedMs: 0, turnMs })),
+const LOOP_TIMINGS: readonly LoopTiming[] = [
+  ...Object.values(ITERATION_MS).map((iterationMs) => ({ pausedAt: 0, pausedMs: 0, iterationMs })),
   ...[-300, 3_100, 6_600, 7_300].flatMap((pausedAt) =>
-    [150, 450, 1_500].map((pausedMs) => ({ pausedAt, pausedMs, turnMs: TURN_MS.usual })),
+    [150, 450, 1_500].map((pausedMs) => ({ pausedAt, pausedMs, iterationMs: ITERATION_MS.usual })),
   ),
 ];
 
-/** Where a request is before it runs, and for how long, in milliseconds. */
+/** Times that a request spends before it runs, in milliseconds. */
 const DELAYS = [
-  { bodyMs: 0, readMs: 0 },
-  { bodyMs: 700, readMs: 0 },
-  { bodyMs: 0, readMs: 400 },
+  { bodyMs: 0, prefillMs: 0 },
+  { bodyMs: 700, prefillMs: 0 },
+  { bodyMs: 0, prefillMs: 400 },
 ];
 
-/** How callers come and what their request needs. */
+/** Properties of the request and of its connection. */
 const REQUESTS = [400, 2_500, 10_000].flatMap((patienceMs) =>
   [100, 3_000, 6_000, Infinity].flatMap((runMs) =>
     DELAYS.flatMap((delay) =>
-      flags((streams) => flags((isKept) => [{ patienceMs, runMs, ...delay, streams, isKept }])),
+      flags((streams) => flags((isKeptAlive) => [{ patienceMs, runMs, ...delay, streams, isKeptAlive }])),
     ),
   ),
 );
@@ -283,18 +283,19 @@
   return [...of(false), ...of(true)];
 }
 
-/** Instants by coarse steps from before the signal, and by fine ones where a deadline meets the end of the stop. */
-function instants(patienceMs: number): number[] {
+/** Instants in coarse steps from before the signal, and in fine steps where a deadline meets the end of the shutdown. */
+function sendInstants(patienceMs: number): number[] {
   const coarse = Array.from({ length: 17 }, (_, index) => -8_800 + index * 1_000);
   const fine = Array.from({ length: 16 }, (_, index) => 6_850 + index * 50 - patienceMs);
   return [...coarse, ...fine];
 }
 
-/** @returns all scenarios: each combination of what may happen, and when */
+/** @returns all combinations of the conditions above */
 export function* scenarios(): Generator<Scenario> {
-  for (const pace of PACES)
-    for (const order of ORDERS)
+  for (const timing of LOOP_TIMINGS)
+    for (const phases of PHASE_ORDERS)
       for (const request of REQUESTS)
-        for (const isBusy of [false, true])
-          for (const sentAt of instants(request.patienceMs)) yield { sentAt, ...request, ...pace, order, isBusy };
+        for (const hasOtherRequest of [false, true])
+          for (const sentAt of sendInstants(request.patienceMs))
+            yield { sentAt, ...request, ...timing, phases, hasOtherRequest };
 }
--- a/packages/gateway/tests/spentDeadline.test.ts
+++ b/packages/gateway/tests/spentDeadline.test.ts
@@ -1,37 +1,37 @@
 import * as serving from "@camphorcourse/serving";
 import * as uvu from "uvu";
 import * as assert from "uvu/assert";
-import * as stands from "./helpers/exchangeHarness.js";
+import * as harnesses from "./helpers/exchangeHarness.js";
 
 const { Decode, Prefill } = serving.EngineRole;
 
-/** Patience of the caller, in milliseconds. */
-const PATIENCE_MS = 400;
+/** Deadline of the request, in milliseconds. */
+const DEADLINE_MS = 400;
 
-const suite = uvu.suite("a request whose time is up");
+const suite = uvu.suite("a request whose deadline has passed");
 
-function standStill(milliseconds: number): void {
+function blockEventLoop(milliseconds: number): void {
   const until = performance.now() + milliseconds;
   while (performance.now() < until);
 }
 
-// A daemon's loop has fallen behind: the engine that read the prompt has answered in time, but is heard only after the
-// caller has given up, and before the deadline's own timer has its turn. The prompt went on to the next engine, which
-// worked for nobody: eight requests of a day reached an engine over half a second after their callers had left.
-suite("is not sent on when its engine is heard too late", () => {
-  const stand = new stands.ExchangeStand(serving.RequestClass.Stream, [Prefill, Decode], PATIENCE_MS);
-  stand.exchange.start();
-  const reading = stand.send(0);
-  standStill(PATIENCE_MS * 1.25);
-  assert.ok(reading.receiver.onHead(200, {}));
-  reading.receiver.onData(Buffer.from("handle"));
-  reading.receiver.onEnd();
+// The event loop lags: the prefill engine has answered in time, but its answer is handled only after the caller has given
+// up, and before the deadline timer runs. The request was sent on to the decode engine, which worked for nobody: in one day
+// eight requests reached an engine more than half a second after their callers had disconnected.
+suite("is not sent on when the prefill engine's answer is handled too late", () => {
+  const harness = new harnesses.ExchangeHarness(serving.RequestClass.Stream, [Prefill, Decode], DEADLINE_MS);
+  harness.exchange.start();
+  const prefill = harness.send(0);
+  blockEventLoop(DEADLINE_MS * 1.25);
+  assert.ok(prefill.receiver.onHead(200, {}));
+  prefill.receiver.onData(Buffer.from("handle"));
+  prefill.receiver.onEnd();
   assert.equal(
-    stand.sends.map(({ path }) => path).filter((path) => !path.startsWith("/free/")),
-    [reading.path],
+    harness.sends.map(({ path }) => path).filter((path) => !path.startsWith("/free/")),
+    [prefill.path],
   );
-  assert.is(stand.answer.refusals[0]?.status, 503, "nothing of it has run");
-  assert.is(stand.running, 0);
+  assert.is(harness.answer.refusals[0]?.status, 503, "the request has not run");
+  assert.is(harness.running, 0);
 });
 
 suite.run();
