--- a/packages/gateway/src/acceptDelayEstimator.ts
+++ b/packages/gateway/src/acceptDelayEstimator.ts
@@ -1,7 +1,7 @@
 /**
- * Estimates how long a connection may have waited for acceptance. Node accepts one connection per iteration of the event
- * loop. When many callers connect at once and iterations are long, the last ones wait for seconds although no single
- * iteration is late.
+ * Estimates how long a connection may have waited for acceptance. Node accepts one connection per iteration of the
+ * event loop. When many callers connect at once and iterations are long, the last ones wait for seconds although no
+ * single iteration is late.
  */
 export class AcceptDelayEstimator {
   /** Instant since which each iteration has accepted a connection; no connection was waiting before it. */
--- a/packages/gateway/src/callerAnswer.ts
+++ b/packages/gateway/src/callerAnswer.ts
@@ -120,8 +120,8 @@
 
   /**
    * Ends the body by closing the connection, as the endpoint did. A body without a length may have been truncated when
-   * the endpoint's connection closed, and nothing shows it. Forwarded with a length it would look complete to the caller;
-   * in the same framing the caller knows as much as this daemon.
+   * the endpoint's connection closed, and nothing shows it. Forwarded with a length it would look complete to the
+   * caller; in the same framing the caller knows as much as this daemon.
    */
   #delimitByClose(): void {
     this.#response.useChunkedEncodingByDefault = false;
--- a/packages/gateway/src/callerListener.ts
+++ b/packages/gateway/src/callerListener.ts
@@ -60,7 +60,7 @@
   readonly #acceptedLate = new WeakSet<stream.Duplex>();
   /** Instant of the last request of each connection, in milliseconds. */
   readonly #readAt = new WeakMap<stream.Duplex, number>();
-  #plannedStop: serving.PlannedStop | undefined;
+  #shutdown: serving.PlannedStop | undefined;
   #doorClosed = false;
   #openRequests = 0;
   #lastRequestAt = 0;
@@ -118,13 +118,13 @@
   }
 
   /**
-   * Begins a planned stop: from now on each connection is closed after its answer, and a request that cannot end in time
-   * is rejected as not run.
+   * Begins a graceful shutdown: from now on each connection is closed after its answer, and a request that cannot end
+   * in time is rejected as not run.
    *
-   * @param plannedStop - decides which requests are still accepted
+   * @param shutdown - decides which requests are still accepted
    */
-  beginStop(plannedStop: serving.PlannedStop): void {
-    this.#plannedStop = plannedStop;
+  beginShutdown(shutdown: serving.PlannedStop): void {
+    this.#shutdown = shutdown;
   }
 
   /** @returns whether new connections are no longer accepted */
@@ -151,7 +151,9 @@
     for (const exchange of [...this.#unanswered]) if (exchange.isUnsent) exchange.endNow(ENDED_BY_STOP);
   }
 
-  /** Gives each request whose answer has not begun its final answer, as there is no time left for an answer to begin. */
+  /**
+   * Gives each request whose answer has not begun its final answer, as there is no time left for an answer to begin.
+   */
   endUnbegun(): void {
     for (const exchange of [...this.#unanswered]) if (!exchange.answerHasBegun) exchange.endNow(ENDED_BY_STOP);
   }
@@ -170,8 +172,8 @@
   /**
    * Handles bytes that are not a valid request, and headers that arrive too slowly. After a pause of the process, Node
    * checks for overdue headers before it reads the sockets, so a request that is already there would be rejected as
-   * faulty. The pending reads are therefore handled first; only what is still overdue then gets status 408, which allows
-   * the caller to retry.
+   * faulty. The pending reads are therefore handled first; only what is still overdue then gets status 408, which
+   * allows the caller to retry.
    */
   #onClientError(error: NodeJS.ErrnoException, socket: stream.Duplex): void {
     if (error.code !== HEADERS_TIMEOUT_CODE) {
@@ -200,7 +202,7 @@
     response.once("close", () => {
       this.#openRequests--;
     });
-    const answer = new callerAnswers.CallerAnswer(response, () => this.#plannedStop !== undefined);
+    const answer = new callerAnswers.CallerAnswer(response, () => this.#shutdown !== undefined);
     const limits = view.table?.configuration.limits ?? DEFAULT_LIMITS;
     const read = callerRequests.readCallerRequest(incoming, format, limits.headerBytes, now);
     if (read.isErr()) {
@@ -212,9 +214,10 @@
     const caller: CallerState = { exchange: undefined, hasDisconnected: false };
     const onDisconnect = (): void => {
       caller.hasDisconnected = true;
-      caller.exchange?.callerLeft();
+      caller.exchange?.onCallerDisconnected();
     };
-    // The socket's "end" event is emitted before the response closes, and before a later request is sent to an endpoint.
+    // The socket's "end" event is emitted before the response closes, and before a later request is sent to an
+    // endpoint.
     incoming.socket.once("end", onDisconnect);
     response.once("close", () => {
       incoming.socket.off("end", onDisconnect);
@@ -264,7 +267,7 @@
       answer.refuse(NOT_FOUND, "no route matches this host and path; check both");
       return undefined;
     }
-    if (this.#isRefusedByStop(request, route)) {
+    if (this.#isRefusedByShutdown(request, route)) {
       this.#refuseStopping(answer);
       return undefined;
     }
@@ -273,12 +276,15 @@
     return exchange;
   }
 
-  /** Decides whether a request that arrives during a planned stop is refused, and logs the decision with its time limit. */
-  #isRefusedByStop(request: callerRequests.CallerRequest, route: serving.Route): boolean {
-    if (this.#plannedStop === undefined) return false;
+  /**
+   * Decides whether a request that arrives during a graceful shutdown is refused, and logs the decision with its time
+   * limit.
+   */
+  #isRefusedByShutdown(request: callerRequests.CallerRequest, route: serving.Route): boolean {
+    if (this.#shutdown === undefined) return false;
     const { requestId: id, deadlineMs } = request.headers;
     const patienceMs = Math.min(deadlineMs ?? route.timeoutMs, route.timeoutMs);
-    const isAccepted = this.#plannedStop.accepts(request.arrivedAt + patienceMs);
+    const isAccepted = this.#shutdown.accepts(request.arrivedAt + patienceMs);
     this.#context.log.info(isAccepted ? "taken-while-stopping" : "refused-stopping", {
       id,
       route: route.name,
--- a/packages/gateway/src/exchange.ts
+++ b/packages/gateway/src/exchange.ts
@@ -60,8 +60,8 @@
 
   /** Begins to serve the request. */
   start(): void {
-    // After a pause of the process, timers run before pending socket reads: an answer that came in time would be discarded
-    // in favour of a 504. setImmediate runs the deadline after the reads.
+    // After a pause of the process, timers run before pending socket reads: an answer that came in time would be
+    // discarded in favour of a 504. setImmediate runs the deadline after the reads.
     const onTime = (): unknown => setImmediate(() => this.#onDeadline());
     this.#deadlineTimer = setTimeout(onTime, Math.max(0, this.#served.remainingMs));
     this.#served.chooseService();
@@ -70,8 +70,8 @@
   }
 
   /** Handles that the caller has disconnected: the send under way is cancelled. */
-  callerLeft(): void {
-    this.#end.callerLeft();
+  onCallerDisconnected(): void {
+    this.#end.onCallerDisconnected();
   }
 
   /**
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -25,10 +25,15 @@
 import * as storeFollowers from "./storeFollower.js";
 import * as crashProtections from "./suspects/crashProtection.js";
 
-/** Interval at which a stopping daemon checks its progress, in milliseconds. After a pause of the process it waits for one check. */
+/**
+ * Interval at which a stopping daemon checks its progress, in milliseconds. After a pause of the process it waits for
+ * one check.
+ */
 const STOP_CHECK_MS = 25;
 
-/** Delay from which the event loop counts as lagging, in milliseconds; it affects callers with tight latency objectives. */
+/**
+ * Delay from which the event loop counts as lagging, in milliseconds; it affects callers with tight latency objectives.
+ */
 const LOOP_LATE_MS = 100;
 
 /** Time for sending the last answers, in milliseconds: a third of the time that remains until the process is killed. */
@@ -286,15 +291,15 @@
     this.#stopping = true;
     const heardAt = performance.now();
     const earliestAt = this.#loopWatch.earliestSignalAt();
-    const plannedStop = new serving.PlannedStop({ earliestAt, heardAt, graceMs: this.#settings.stopGraceMs });
+    const shutdown = new serving.PlannedStop({ earliestAt, heardAt, graceMs: this.#settings.stopGraceMs });
     const heardLateMs = Math.round(heardAt - earliestAt);
     this.#log.info("stop", { open: this.#listener.openRequests, heardLateMs });
-    this.#listener.beginStop(plannedStop);
+    this.#listener.beginShutdown(shutdown);
     this.#peers.sayNow();
     void this.#registration.end();
     void this.#authority.end();
     this.#roles.stop();
-    await this.#completeShutdown(plannedStop);
+    await this.#completeShutdown(shutdown);
     this.#listener.endOpen();
     await this.#allAnswered(performance.now() + LAST_ANSWERS_MS);
     this.#listener.close();
@@ -306,8 +311,8 @@
   }
 
   /**
-   * Logs an uncaught error that is about to end the process. Without this line only the last output of the process shows
-   * the error, where the long source lines of the bundled program crowd it out.
+   * Logs an uncaught error that is about to end the process. Without this line only the last output of the process
+   * shows the error, where the long source lines of the bundled program crowd it out.
    *
    * @param error - the uncaught error
    */
@@ -322,8 +327,8 @@
 
   /**
    * Whether this daemon is the one that should issue role orders: one of the live daemons that reach the key-value
-   * service. When that daemon falls silent or loses the service, another becomes the candidate: the first could not renew
-   * its lease, and nobody would issue orders.
+   * service. When that daemon falls silent or loses the service, another becomes the candidate: the first could not
+   * renew its lease, and nobody would issue orders.
    */
   #isOrderCandidate(): boolean {
     if (!this.ready || this.#follower.silentMs > peerBooks.STORE_SILENT_MS) return false;
@@ -357,8 +362,8 @@
     return this.#peers.book.live(performance.now()).reduce((sum, peer) => sum + valueOf(peer), 0);
   }
 
-  async #completeShutdown(plannedStop: serving.PlannedStop): Promise<void> {
-    while (!plannedStop.step(this.#listener, performance.now())) {
+  async #completeShutdown(shutdown: serving.PlannedStop): Promise<void> {
+    while (!shutdown.step(this.#listener, performance.now())) {
       await new Promise((resolve) => setTimeout(resolve, STOP_CHECK_MS));
     }
   }
@@ -370,7 +375,8 @@
   }
 
   #onEndpoint(update: serving.EndpointNews): void {
-    // An entry that cannot be used is not sent to peers: it may be long, and peers with an older format would only log it.
+    // An entry that cannot be used is not sent to peers: it may be long, and peers with an older format would only log
+    // it.
     const setAside = update.change === serving.EndpointChange.SetAside;
     const { revision, leavingBornAt: bornAt } = update;
     if (DEPARTURES.has(update.change)) this.#peers.noteDeparture(update.id, { revision, bornAt, setAside });
@@ -386,8 +392,9 @@
   }
 
   /**
-   * Discards what is known of an endpoint, as it does not hold for its next incarnation. Otherwise earlier failures would
-   * keep requests from a healthy endpoint, and prompts would be sent to an engine for cached parts that it no longer has.
+   * Discards what is known of an endpoint, as it does not hold for its next incarnation. Otherwise earlier failures
+   * would keep requests from a healthy endpoint, and prompts would be sent to an engine for cached parts that it no
+   * longer has.
    */
   #forgetEndpoint(endpointId: string): void {
     this.#context.client.forget(endpointId);
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,4 +1,7 @@
-/** The gateway: runs the decision logic of the serving package with sockets and timers. The platform implements its ports. */
+/**
+ * The gateway: runs the decision logic of the serving package with sockets and timers. The platform implements its
+ * ports.
+ */
 export * from "./address.js";
 export * from "./beliefs.js";
 export * from "./context.js";
--- a/packages/gateway/src/loopWatch.ts
+++ b/packages/gateway/src/loopWatch.ts
@@ -71,7 +71,10 @@
     return Math.max(this.#lastLateMs, this.#clocks.monotonic() - this.#monotonicAt - HEARTBEAT_INTERVAL_MS);
   }
 
-  /** @returns earliest instant of the monotonic clock, in milliseconds, at which a signal received now may have been sent */
+  /**
+   * @returns earliest instant of the monotonic clock, in milliseconds, at which a signal received now may have been
+   * sent
+   */
   earliestSignalAt(): number {
     const now = this.#clocks.monotonic();
     const silentMs = Math.max(now - this.#monotonicAt, this.#clocks.systemTime() - this.#systemTimeAt);
--- a/packages/gateway/src/pendingReads.ts
+++ b/packages/gateway/src/pendingReads.ts
@@ -3,10 +3,10 @@
   #timer: NodeJS.Immediate | undefined;
 
   /**
-   * Defers a step until everything that was pending in the sockets has been handled. A lagging event loop handles events
-   * in the order in which they came, so a step that follows from an older event would run before a newer event that
-   * forbids it is handled. Waits for two iterations of the event loop, as the last bytes of a connection and its end are
-   * reported in separate iterations.
+   * Defers a step until everything that was pending in the sockets has been handled. A lagging event loop handles
+   * events in the order in which they came, so a step that follows from an older event would run before a newer event
+   * that forbids it is handled. Waits for two iterations of the event loop, as the last bytes of a connection and its
+   * end are reported in separate iterations.
    *
    * @param step - called afterwards
    */
--- a/packages/gateway/src/requestEnd.ts
+++ b/packages/gateway/src/requestEnd.ts
@@ -57,7 +57,7 @@
   }
 
   /** Ends the request because the caller has disconnected. */
-  callerLeft(): void {
+  onCallerDisconnected(): void {
     if (this.#over) return;
     this.#finish("caller-left", NO_STATUS);
   }
@@ -85,8 +85,8 @@
   }
 
   /**
-   * Gives the request up. Only a request that cannot have run is answered as not run, with the time after which to retry;
-   * one that may have run gets a 502.
+   * Gives the request up. Only a request that cannot have run is answered as not run, with the time after which to
+   * retry; one that may have run gets a 502.
    *
    * @param reason - outcome in the log
    * @param retryAfterMs - time after which the caller may retry, in milliseconds, or undefined for the default range
--- a/packages/gateway/tests/eventSplitter.test.ts
+++ b/packages/gateway/tests/eventSplitter.test.ts
@@ -16,8 +16,8 @@
     return { id: String(id), text: `id: ${id}${lineEnd}data: ${data}${lineEnd}${lineEnd}` };
   });
 
-// Guards against forwarding a part of an event: the network splits the stream anywhere, also inside an id, and a part that
-// was forwarded could not be taken back when the stream is resumed on another engine.
+// Guards against forwarding a part of an event: the network splits the stream anywhere, also inside an id, and a part
+// that was forwarded could not be taken back when the stream is resumed on another engine.
 suite("each event is returned complete and once, however the bytes are split", () => {
   fastCheck.assert(
     fastCheck.property(
--- a/packages/gateway/tests/exchange.test.ts
+++ b/packages/gateway/tests/exchange.test.ts
@@ -74,8 +74,8 @@
   assert.is(harness.endLines.length, 1);
 });
 
-// The decode engine was lost before the first token, so the request may have run. The second prefill alone runs nothing, but
-// the request as a whole may have run.
+// The decode engine was lost before the first token, so the request may have run. The second prefill alone runs
+// nothing, but the request as a whole may have run.
 suite("a request stays marked as possibly run while it is sent again", () => {
   const harness = startedExchange(Stream, [Prefill, Decode, Decode]);
   finishPrefill(harness.send(0));
@@ -102,8 +102,9 @@
   assert.is(harness.endLines.length, 1);
 });
 
-// An error thrown while one request is served, by a decision or a library, went uncaught and ended the daemon with all its
-// callers' requests (exit code 1); a caller's invalid token counts caused it. It must fail this request only, as not run.
+// An error thrown while one request is served, by a decision or a library, went uncaught and ended the daemon with all
+// its callers' requests (exit code 1); a caller's invalid token counts caused it. It must fail this request only, as
+// not run.
 suite("an error thrown while a request is served fails this request only", () => {
   const harness = new harnesses.ExchangeHarness(NonIdempotent, [None]);
   harness.failNextSend(new TypeError("sizeCalculation return invalid"));
--- a/packages/gateway/tests/helpers/exchangeHarness.ts
+++ b/packages/gateway/tests/helpers/exchangeHarness.ts
@@ -228,7 +228,10 @@
     this.exchange = new exchanges.Exchange(this.#context, request, route, Buffer.from("body"), this.answer);
   }
 
-  /** Makes decode engines appear to take seconds for a short prompt, so that a separate prefill is chosen wherever possible. */
+  /**
+   * Makes decode engines appear to take seconds for a short prompt, so that a separate prefill is chosen wherever
+   * possible.
+   */
   slowDownDecodeEngines(): void {
     const observation = { unreadTokens: 1_000, cachedTokens: 0, tokensWaiting: 0, streams: 0, tookMs: 5_000 };
     for (let index = 0; index < OBSERVATIONS; index++) {
--- a/packages/gateway/tests/helpers/stopModel.ts
+++ b/packages/gateway/tests/helpers/stopModel.ts
@@ -13,7 +13,10 @@
 /** Time for sending the last answers, in milliseconds. */
 const LAST_ANSWERS_MS = 200;
 
-/** Phases of an event loop iteration. They are tried in several orders, as the phase in which a paused loop resumes is not known. */
+/**
+ * Phases of an event loop iteration. They are tried in several orders, as the phase in which a paused loop resumes is
+ * not known.
+ */
 export enum Phase {
   Signal = "signal",
   Timers = "timers",
@@ -85,10 +88,10 @@
 /** Simulates the process, its event loop, and one request, with the real shutdown logic and event loop monitor. */
 class Simulation implements serving.StoppableListener {
   readonly #scenario: Scenario;
-  readonly #watch: loopWatches.LoopWatch;
+  readonly #loopWatch: loopWatches.LoopWatch;
   #now: number;
   #heartbeatAt: number;
-  #stop: serving.PlannedStop | undefined;
+  #shutdown: serving.PlannedStop | undefined;
   #state = State.NotReceived;
   #outcome = Outcome.NotConnected;
   #arrivedAt = 0;
@@ -107,7 +110,7 @@
     this.#now = Math.min(-HEARTBEAT_MS, scenario.sentAt, scenario.pausedAt - scenario.iterationMs);
     this.#heartbeatAt = this.#now;
     const clock = (): number => this.#now;
-    this.#watch = new loopWatches.LoopWatch({ monotonic: clock, systemTime: clock });
+    this.#loopWatch = new loopWatches.LoopWatch({ monotonic: clock, systemTime: clock });
   }
 
   get openRequests(): number {
@@ -153,7 +156,10 @@
     };
   }
 
-  /** Whether the request has reached the process: on an open connection, or on one opened before the listener closed. */
+  /**
+   * Whether the request has reached the process: on a kept-alive connection, or on one opened before the listener
+   * closed.
+   */
   #hasReached(instant: number): boolean {
     const { sentAt, isKeptAlive } = this.#scenario;
     return sentAt <= instant && (isKeptAlive || sentAt < this.#closedAt);
@@ -169,20 +175,20 @@
     if (this.#deadlineDue && this.#state !== State.Ended) this.#end(Outcome.DeadlinePassed);
     if (this.#now - this.#heartbeatAt >= HEARTBEAT_MS) {
       this.#heartbeatAt = this.#now;
-      this.#watch.recordHeartbeat();
+      this.#loopWatch.recordHeartbeat();
     }
   }
 
   #handleSignal(): void {
-    if (this.#now < 0 || this.#stop !== undefined) return;
-    const earliestAt = this.#watch.earliestSignalAt();
-    this.#stop = new serving.PlannedStop({ earliestAt, heardAt: this.#now, graceMs: GRACE_MS });
+    if (this.#now < 0 || this.#shutdown !== undefined) return;
+    const earliestAt = this.#loopWatch.earliestSignalAt();
+    this.#shutdown = new serving.PlannedStop({ earliestAt, heardAt: this.#now, graceMs: GRACE_MS });
   }
 
   #runTimers(): void {
     const isOpen = this.#state === State.Accepted || this.#state === State.Running;
     if (isOpen && this.#now >= this.#deadlineAt) this.#deadlineDue = true;
-    if (this.#stop?.step(this, this.#now) === true) this.#isOver = true;
+    if (this.#shutdown?.step(this, this.#now) === true) this.#isOver = true;
   }
 
   get #deadlineAt(): number {
@@ -204,8 +210,8 @@
   }
 
   #acceptOrReject(): void {
-    const isStopping = this.#stop !== undefined;
-    if (isStopping && !this.#stop?.accepts(this.#deadlineAt)) {
+    const isStopping = this.#shutdown !== undefined;
+    if (isStopping && !this.#shutdown?.accepts(this.#deadlineAt)) {
       this.#end(Outcome.Rejected);
       return;
     }
@@ -283,7 +289,9 @@
   return [...of(false), ...of(true)];
 }
 
-/** Instants in coarse steps from before the signal, and in fine steps where a deadline meets the end of the shutdown. */
+/**
+ * Instants in coarse steps from before the signal, and in fine steps where a deadline meets the end of the shutdown.
+ */
 function sendInstants(patienceMs: number): number[] {
   const coarse = Array.from({ length: 17 }, (_, index) => -8_800 + index * 1_000);
   const fine = Array.from({ length: 16 }, (_, index) => 6_850 + index * 50 - patienceMs);
--- a/packages/gateway/tests/loopWatch.test.ts
+++ b/packages/gateway/tests/loopWatch.test.ts
@@ -55,8 +55,9 @@
   assert.is(watch.earliestSignalAt(), 1_000);
 });
 
-// Uses the system's clocks and a real signal: the process is busy for a second, the signal comes at the beginning, and the
-// heartbeat timer is overdue when the event loop continues. A heartbeat recorded before the signal would hide the gap.
+// Uses the system's clocks and a real signal: the process is busy for a second, the signal comes at the beginning, and
+// the heartbeat timer is overdue when the event loop continues. A heartbeat recorded before the signal would hide the
+// gap.
 suite("a signal that was pending while the process was busy shows the gap", async () => {
   const watch = new loopWatches.LoopWatch();
   watch.start();
@@ -72,7 +73,8 @@
   assert.ok(gapMs >= 1_000, `the gap was ${gapMs} ms`);
 });
 
-// From outside, a lagging event loop looks like a busy engine or a saturated link; only its own heartbeats show the delay.
+// From outside, a lagging event loop looks like a busy engine or a saturated link; only its own heartbeats show the
+// delay.
 suite("each heartbeat reports its delay", () => {
   const clocks = new FakeClocks();
   const delays: number[] = [];
--- a/packages/gateway/tests/spentDeadline.test.ts
+++ b/packages/gateway/tests/spentDeadline.test.ts
@@ -15,9 +15,9 @@
   while (performance.now() < until);
 }
 
-// The event loop lags: the prefill engine has answered in time, but its answer is handled only after the caller has given
-// up, and before the deadline timer runs. The request was sent on to the decode engine, which worked for nobody: in one day
-// eight requests reached an engine more than half a second after their callers had disconnected.
+// The event loop lags: the prefill engine has answered in time, but its answer is handled only after the caller has
+// given up, and before the deadline timer runs. The request was sent on to the decode engine, which worked for nobody:
+// in one day eight requests reached an engine more than half a second after their callers had disconnected.
 suite("is not sent on when the prefill engine's answer is handled too late", () => {
   const harness = new harnesses.ExchangeHarness(serving.RequestClass.Stream, [Prefill, Decode], DEADLINE_MS);
   harness.exchange.start();
--- a/packages/gateway/tests/stopModel.test.ts
+++ b/packages/gateway/tests/stopModel.test.ts
@@ -26,7 +26,10 @@
   return pausedWithin(scenario, stopModels.GRACE_MS, stopModels.GRACE_MS);
 }
 
-/** In this case streams that have begun continue until the end counted from the latest instant at which the signal may have been sent. */
+/**
+ * In this case streams that have begun continue until the end counted from the latest instant at which the signal may
+ * have been sent.
+ */
 function isPausedAtSignal(scenario: stopModels.Scenario): boolean {
   return scenario.pausedMs > PAUSE_MS && pausedWithin(scenario, 0, 0);
 }
