--- a/packages/gateway/src/decisionLog.ts
+++ b/packages/gateway/src/decisionLog.ts
@@ -57,7 +57,7 @@
    * @param fields - the inputs of the decision, and its outcome
    */
   info(event: string, fields: LogFields): void {
-    if (this.#isWithinLimit(event)) this.#logger.info(fields, event);
+    if (this.#admitLine(event)) this.#logger.info(fields, event);
   }
 
   /**
@@ -65,11 +65,11 @@
    * @param fields - details of the problem
    */
   warn(event: string, fields: LogFields): void {
-    if (this.#isWithinLimit(event)) this.#logger.warn(fields, event);
+    if (this.#admitLine(event)) this.#logger.warn(fields, event);
   }
 
-  /** @returns whether a line of the event may be written within the limit of this second */
-  #isWithinLimit(event: string): boolean {
+  /** @returns whether one more line of the event is within the limit for this second; otherwise it counts as dropped */
+  #admitLine(event: string): boolean {
     const second = Math.floor(performance.now() / SECOND_MS);
     let count = this.#counts.get(event);
     if (count === undefined) {
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -299,9 +299,9 @@
     void this.#registration.end();
     void this.#authority.end();
     this.#roles.stop();
-    await this.#completeShutdown(shutdown);
+    await this.#runShutdown(shutdown);
     this.#listener.endOpen();
-    await this.#allAnswered(performance.now() + LAST_ANSWERS_MS);
+    await this.#waitForAnswers(performance.now() + LAST_ANSWERS_MS);
     this.#listener.close();
     this.#follower.stop();
     this.#protection.stop();
@@ -362,13 +362,13 @@
     return this.#peers.book.live(performance.now()).reduce((sum, peer) => sum + valueOf(peer), 0);
   }
 
-  async #completeShutdown(shutdown: serving.PlannedStop): Promise<void> {
+  async #runShutdown(shutdown: serving.PlannedStop): Promise<void> {
     while (!shutdown.step(this.#listener, performance.now())) {
       await new Promise((resolve) => setTimeout(resolve, STOP_CHECK_MS));
     }
   }
 
-  async #allAnswered(latestAt: number): Promise<void> {
+  async #waitForAnswers(latestAt: number): Promise<void> {
     while (this.#listener.openRequests > 0 && performance.now() < latestAt) {
       await new Promise((resolve) => setImmediate(resolve));
     }
