--- a/packages/gateway/src/answerBody.ts
+++ b/packages/gateway/src/answerBody.ts
@@ -43,12 +43,12 @@
 
   /** {@inheritDoc AnswerBody.onEnd} */
   onEnd(): void {
-    const { active, answer, end, lessons, memory, results, served } = this.#send;
+    const { active, answer, end, feedback, memory, results, served } = this.#send;
     const { status, headers } = this.#head;
     memory.noteTaken();
     const failed = status >= SERVER_ERRORS_FROM;
     const now = performance.now();
-    lessons.judge(active, failed ? serving.SendResult.Failed : serving.SendResult.Good);
+    feedback.judge(active, failed ? serving.SendResult.Failed : serving.SendResult.Good);
     if (answer.state === callerAnswers.AnswerState.Streaming) {
       const detail = `status ${status} to a resumed stream`;
       results.failed(active, serving.SendFate.Unknown, detail);
@@ -88,20 +88,20 @@
 
   /** {@inheritDoc AnswerBody.onEnd} */
   onEnd(): void {
-    const { active, end, lessons, results, served } = this.#send;
+    const { active, end, feedback, results, served } = this.#send;
     if (this.#splitter.unfinishedBytes > 0 || !served.progress.hasBegun) {
       results.failed(active, serving.SendFate.Unknown, "the stream ended inside an event");
       return;
     }
-    lessons.judge(active, serving.SendResult.Good);
-    lessons.learnPause(active);
+    feedback.judge(active, serving.SendResult.Good);
+    feedback.learnPause(active);
     end.endStream();
   }
 
   #onEvent(event: eventSplitters.StreamEvent): void {
-    const { active, answer, context, lessons, memory, served } = this.#send;
-    if (active.endRead()) lessons.learnTime(active);
-    else if (active.noteBegun()) lessons.learnHandover(active);
+    const { active, answer, context, feedback, memory, served } = this.#send;
+    if (active.endRead()) feedback.learnTime(active);
+    else if (active.noteBegun()) feedback.learnHandover(active);
     const now = performance.now();
     if (!served.progress.hasBegun) {
       context.metrics.record(metricsModule.Duration.FirstEvent, now - served.caller.arrivedAt);
--- a/packages/gateway/src/exchange.ts
+++ b/packages/gateway/src/exchange.ts
@@ -15,7 +15,7 @@
 export class Exchange {
   readonly #context: contexts.ServingContext;
   readonly #served: servedRequests.ServedRequest;
-  readonly #lessons: endpointLessons.EndpointLessons;
+  readonly #feedback: endpointLessons.EndpointLessons;
   readonly #end: requestEnds.RequestEnd;
   readonly #course: sendCourses.SendCourse;
   #deadlineTimer: NodeJS.Timeout | undefined;
@@ -36,13 +36,13 @@
   ) {
     this.#context = context;
     this.#served = new servedRequests.ServedRequest(context, request, route, body);
-    this.#lessons = new endpointLessons.EndpointLessons(context, this.#served);
+    this.#feedback = new endpointLessons.EndpointLessons(context, this.#served);
     this.#end = new requestEnds.RequestEnd(context, this.#served, answer, () => this.#onEnded());
     this.#course = new sendCourses.SendCourse({
       context,
       served: this.#served,
       memory: new promptMemories.PromptMemory(context),
-      lessons: this.#lessons,
+      feedback: this.#feedback,
       answer,
       end: this.#end,
     });
@@ -90,7 +90,7 @@
     if (this.#end.over) return;
     const { active } = this.#course;
     const mayHaveRun = this.#mayHaveRun();
-    if (active !== undefined) this.#lessons.judge(active, serving.SendResult.Silent);
+    if (active !== undefined) this.#feedback.judge(active, serving.SendResult.Silent);
     this.#end.timeOut(mayHaveRun);
   }
 
--- a/packages/gateway/src/exchangeParts.ts
+++ b/packages/gateway/src/exchangeParts.ts
@@ -12,7 +12,7 @@
   readonly context: contexts.ServingContext;
   readonly served: servedRequests.ServedRequest;
   readonly memory: promptMemories.PromptMemory;
-  readonly lessons: endpointLessons.EndpointLessons;
+  readonly feedback: endpointLessons.EndpointLessons;
   readonly answer: callerAnswers.CallerAnswer;
   readonly end: requestEnds.RequestEnd;
 }
--- a/packages/gateway/src/promptReceiver.ts
+++ b/packages/gateway/src/promptReceiver.ts
@@ -33,13 +33,13 @@
 
   /** {@inheritDoc sendings.AnswerReceiver.onEnd} */
   onEnd(): void {
-    const { active, results, context, served, memory, lessons } = this.#send;
+    const { active, results, context, served, memory, feedback } = this.#send;
     if (!results.end(active)) return;
     const whole = Buffer.concat(this.#chunks);
     const handle = this.#status === HTTP_OK ? context.format.readHandle(whole) : undefined;
     if (handle?.isOk() === true) {
-      lessons.judge(active, serving.SendResult.Good);
-      lessons.learnTime(active);
+      feedback.judge(active, serving.SendResult.Good);
+      feedback.learnTime(active);
       memory.keep({ reader: active.endpoint, handle: handle.value.handle });
       served.unmarkTried(active.endpoint.id);
       results.sendNext();
--- a/packages/gateway/src/sendCourse.ts
+++ b/packages/gateway/src/sendCourse.ts
@@ -85,9 +85,9 @@
 
   /** {@inheritDoc exchangeParts.SendResults.failed} */
   failed(active: activeSends.ActiveSend, fate: serving.SendFate, detail: string): void {
-    const { context, end, lessons, memory, served } = this.#parts;
+    const { context, end, feedback, memory, served } = this.#parts;
     const declined = fate === serving.SendFate.Declined;
-    lessons.judge(active, declined ? serving.SendResult.Declined : serving.SendResult.Failed);
+    feedback.judge(active, declined ? serving.SendResult.Declined : serving.SendResult.Failed);
     this.#countFailed(active, fate);
     if (fate === serving.SendFate.Unknown) served.noteMayHaveRun();
     if (declined && active.stage === sendChoosers.Stage.Answering) memory.free();
@@ -213,7 +213,7 @@
   }
 
   #leaveSilent(active: activeSends.ActiveSend, silentMs: number): void {
-    const { context, lessons, served } = this.#parts;
+    const { context, feedback, served } = this.#parts;
     const reading = active.stage === sendChoosers.Stage.Reading;
     if (!reading && !serving.mayRepeat(served.route)) return;
     const fate = reading ? serving.SendFate.Declined : serving.SendFate.Unknown;
@@ -231,7 +231,7 @@
       step,
     });
     if (!reading) served.noteMayHaveRun();
-    lessons.judge(active, serving.SendResult.Silent);
+    feedback.judge(active, serving.SendResult.Silent);
     active.cancel();
     if (this.end(active)) this.sendNext();
   }
