--- a/packages/gateway/src/answerBody.ts
+++ b/packages/gateway/src/answerBody.ts
@@ -43,9 +43,9 @@
 
   /** {@inheritDoc AnswerBody.onEnd} */
   onEnd(): void {
-    const { active, answer, end, feedback, memory, results, served } = this.#send;
+    const { active, answer, end, feedback, handover, results, served } = this.#send;
     const { status, headers } = this.#head;
-    memory.noteTaken();
+    handover.noteTaken();
     const failed = status >= SERVER_ERRORS_FROM;
     const now = performance.now();
     feedback.judge(active, failed ? serving.SendResult.Failed : serving.SendResult.Good);
@@ -99,7 +99,7 @@
   }
 
   #onEvent(event: eventSplitters.StreamEvent): void {
-    const { active, answer, context, feedback, memory, served } = this.#send;
+    const { active, answer, context, feedback, handover, served } = this.#send;
     if (active.endRead()) feedback.learnTime(active);
     else if (active.noteBegun()) feedback.learnHandover(active);
     const now = performance.now();
@@ -108,7 +108,7 @@
     }
     served.progress.recordEvent(event.id, now);
     served.noteMayHaveRun();
-    memory.noteTaken();
+    handover.noteTaken();
     answer.beginStream(this.#head.status, this.#head.headers);
     if (!answer.write(event.bytes)) active.holdBack(answer);
   }
--- a/packages/gateway/src/exchange.ts
+++ b/packages/gateway/src/exchange.ts
@@ -41,7 +41,7 @@
     this.#course = new sendCourses.SendCourse({
       context,
       served: this.#served,
-      memory: new promptMemories.PromptMemory(context),
+      handover: new promptMemories.PromptMemory(context),
       feedback: this.#feedback,
       answer,
       end: this.#end,
--- a/packages/gateway/src/exchangeParts.ts
+++ b/packages/gateway/src/exchangeParts.ts
@@ -11,7 +11,7 @@
 export interface ExchangeParts {
   readonly context: contexts.ServingContext;
   readonly served: servedRequests.ServedRequest;
-  readonly memory: promptMemories.PromptMemory;
+  readonly handover: promptMemories.PromptMemory;
   readonly feedback: endpointLessons.EndpointLessons;
   readonly answer: callerAnswers.CallerAnswer;
   readonly end: requestEnds.RequestEnd;
--- a/packages/gateway/src/promptReceiver.ts
+++ b/packages/gateway/src/promptReceiver.ts
@@ -33,14 +33,14 @@
 
   /** {@inheritDoc sendings.AnswerReceiver.onEnd} */
   onEnd(): void {
-    const { active, results, context, served, memory, feedback } = this.#send;
+    const { active, results, context, served, handover, feedback } = this.#send;
     if (!results.end(active)) return;
     const whole = Buffer.concat(this.#chunks);
     const handle = this.#status === HTTP_OK ? context.format.readHandle(whole) : undefined;
     if (handle?.isOk() === true) {
       feedback.judge(active, serving.SendResult.Good);
       feedback.learnTime(active);
-      memory.keep({ reader: active.endpoint, handle: handle.value.handle });
+      handover.keep({ reader: active.endpoint, handle: handle.value.handle });
       served.unmarkTried(active.endpoint.id);
       results.sendNext();
       return;
--- a/packages/gateway/src/sendCourse.ts
+++ b/packages/gateway/src/sendCourse.ts
@@ -47,7 +47,7 @@
   }
 
   #goOn(): void {
-    const { end, memory, served } = this.#parts;
+    const { end, handover, served } = this.#parts;
     if (end.over) return;
     // A loop that has fallen behind hears an endpoint before the deadline's own timer: sent on, the request would run
     // for a caller that has gone.
@@ -59,7 +59,7 @@
       end.fail(NOT_FOUND, "route-removed", "no route leads there any more");
       return;
     }
-    const lostReader = memory.dropLost();
+    const lostReader = handover.dropLost();
     if (lostReader !== undefined) {
       this.#readAgain(lostReader);
       return;
@@ -69,8 +69,8 @@
       end.reject(admitted.error.reason, admitted.error.returnAfterMs);
       return;
     }
-    if (admitted.value) memory.free();
-    const choice = admitted.value ? this.#chooser.chooseAlone() : this.#chooser.choose(memory.handedOver?.reader);
+    if (admitted.value) handover.free();
+    const choice = admitted.value ? this.#chooser.chooseAlone() : this.#chooser.choose(handover.handedOver?.reader);
     if (choice.isErr()) end.reject(choice.error.reason, choice.error.returnAfterMs);
     else this.#dispatch(choice.value);
   }
@@ -85,13 +85,13 @@
 
   /** {@inheritDoc exchangeParts.SendResults.failed} */
   failed(active: activeSends.ActiveSend, fate: serving.SendFate, detail: string): void {
-    const { context, end, feedback, memory, served } = this.#parts;
+    const { context, end, feedback, handover, served } = this.#parts;
     const declined = fate === serving.SendFate.Declined;
     feedback.judge(active, declined ? serving.SendResult.Declined : serving.SendResult.Failed);
     this.#countFailed(active, fate);
     if (fate === serving.SendFate.Unknown) served.noteMayHaveRun();
-    if (declined && active.stage === sendChoosers.Stage.Answering) memory.free();
-    if (fate === serving.SendFate.Unknown) memory.noteTaken();
+    if (declined && active.stage === sendChoosers.Stage.Answering) handover.free();
+    if (fate === serving.SendFate.Unknown) handover.noteTaken();
     const step = served.decideNextStep(fate);
     context.log.info("send-failed", {
       id: served.id,
@@ -131,7 +131,7 @@
       active.cancel();
       active.release();
     }
-    this.#parts.memory.free();
+    this.#parts.handover.free();
     this.#parts.context.suspects.release(this.#parts.served);
   }
 
@@ -163,7 +163,7 @@
     this.#active = active;
     served.markTried(planned.endpoint.id);
     if (planned.stage === sendChoosers.Stage.Answering) served.countSend();
-    const urgency = planned.plan?.level ?? (this.#parts.memory.handedOver === undefined ? undefined : 0);
+    const urgency = planned.plan?.level ?? (this.#parts.handover.handedOver === undefined ? undefined : 0);
     const message = this.#message(planned, remainingMs, urgency);
     context.log.info("send", {
       id: served.id,
@@ -189,8 +189,8 @@
     remainingMs: number,
     urgency: number | undefined,
   ): sendings.OutgoingRequest {
-    const { context, memory, served } = this.#parts;
-    const source = memory.handedOver;
+    const { context, handover, served } = this.#parts;
+    const source = handover.handedOver;
     const { lastEventId } = served.progress;
     const headers = context.format.writeSend(served.caller.headers, {
       deadlineMs: remainingMs,
