--- a/packages/gateway/src/answerBody.ts
+++ b/packages/gateway/src/answerBody.ts
@@ -13,23 +13,23 @@
   readonly headers: sendings.AnswerHeaders;
 }
 
-/** Takes the body of an endpoint's answer. */
+/** Handles the body of an endpoint's answer. */
 export interface AnswerBody {
   /** @param chunk - the next bytes */
   onData(chunk: Buffer): void;
-  /** The answer has come to its end, and its head says that it counts. */
+  /** Handles the end of an answer that was received completely and whose headers were accepted. */
   onEnd(): void;
 }
 
-/** A body that is passed on once it is whole. */
-export class WholeBody implements AnswerBody {
+/** A body that is buffered and forwarded once it is complete. */
+export class BufferedBody implements AnswerBody {
   readonly #send: exchangeParts.AnsweredSend;
   readonly #head: ReceivedHead;
   readonly #chunks: Buffer[] = [];
 
   /**
    * @param send - the send that is answered
-   * @param head - the answer's head
+   * @param head - status and headers of the answer
    */
   constructor(send: exchangeParts.AnsweredSend, head: ReceivedHead) {
     this.#send = send;
@@ -43,30 +43,30 @@
 
   /** {@inheritDoc AnswerBody.onEnd} */
   onEnd(): void {
-    const { active, answer, end, lessons, memory, results, served } = this.#send;
+    const { active, answer, end, feedback, handover, results, served } = this.#send;
     const { status, headers } = this.#head;
-    memory.noteTaken();
+    handover.noteTaken();
     const failed = status >= SERVER_ERRORS_FROM;
     const now = performance.now();
-    lessons.judge(active, failed ? serving.SendResult.Failed : serving.SendResult.Good);
+    feedback.judge(active, failed ? serving.SendResult.Failed : serving.SendResult.Good);
     if (answer.state === callerAnswers.AnswerState.Streaming) {
-      const detail = `status ${status} to a stream that goes on`;
+      const detail = `status ${status} to a resumed stream`;
       results.failed(active, serving.SendOutcome.Unknown, detail);
       return;
     }
     if (failed) {
       served.noteMayHaveRun();
-      const step = served.decide(serving.SendOutcome.Unknown);
+      const step = served.decideNextStep(serving.SendOutcome.Unknown);
       if (step === serving.NextStep.SendAgain) {
         results.sendNext();
         return;
       }
     }
-    end.pass(status, headers, Buffer.concat(this.#chunks), now);
+    end.forward(status, headers, Buffer.concat(this.#chunks), now);
   }
 }
 
-/** A body whose events are passed on one by one. */
+/** A body whose events are forwarded one by one. */
 export class StreamBody implements AnswerBody {
   readonly #send: exchangeParts.AnsweredSend;
   readonly #head: ReceivedHead;
@@ -74,7 +74,7 @@
 
   /**
    * @param send - the send that is answered
-   * @param head - the answer's head
+   * @param head - status and headers of the answer
    */
   constructor(send: exchangeParts.AnsweredSend, head: ReceivedHead) {
     this.#send = send;
@@ -88,27 +88,27 @@
 
   /** {@inheritDoc AnswerBody.onEnd} */
   onEnd(): void {
-    const { active, end, lessons, results, served } = this.#send;
-    if (this.#splitter.unfinishedBytes > 0 || !served.progress.begun) {
+    const { active, end, feedback, results, served } = this.#send;
+    if (this.#splitter.unfinishedBytes > 0 || !served.progress.hasBegun) {
       results.failed(active, serving.SendOutcome.Unknown, "the stream ended inside an event");
       return;
     }
-    lessons.judge(active, serving.SendResult.Good);
-    lessons.learnPause(active);
+    feedback.judge(active, serving.SendResult.Good);
+    feedback.learnPause(active);
     end.endStream();
   }
 
   #onEvent(event: eventSplitters.StreamEvent): void {
-    const { active, answer, context, lessons, memory, served } = this.#send;
-    if (active.endRead()) lessons.learnTime(active);
-    else if (active.noteBegun()) lessons.learnHandover(active);
+    const { active, answer, context, feedback, handover, served } = this.#send;
+    if (active.endRead()) feedback.learnTime(active);
+    else if (active.noteBegun()) feedback.learnHandover(active);
     const now = performance.now();
-    if (!served.progress.begun) {
+    if (!served.progress.hasBegun) {
       context.metrics.record(metricsModule.Duration.FirstEvent, now - served.caller.arrivedAt);
     }
-    served.progress.note(event.id, now);
+    served.progress.recordEvent(event.id, now);
     served.noteMayHaveRun();
-    memory.noteTaken();
+    handover.noteTaken();
     answer.beginStream(this.#head.status, this.#head.headers);
     if (!answer.write(event.bytes)) active.holdBack(answer);
   }
--- a/packages/gateway/src/exchange.ts
+++ b/packages/gateway/src/exchange.ts
@@ -11,21 +11,21 @@
 
 const BAD_GATEWAY = 502;
 
-/** One request of a caller, from its arrival to its one final answer. */
+/** Serves one request of a caller, from its arrival to its single final answer. */
 export class Exchange {
   readonly #context: contexts.ServingContext;
   readonly #served: servedRequests.ServedRequest;
-  readonly #lessons: endpointLessons.EndpointLessons;
+  readonly #feedback: endpointLessons.EndpointLessons;
   readonly #end: requestEnds.RequestEnd;
   readonly #course: sendCourses.SendCourse;
   #deadlineTimer: NodeJS.Timeout | undefined;
 
   /**
-   * @param context - what serving needs
+   * @param context - dependencies shared by all requests
    * @param request - the caller's request
-   * @param route - its route
-   * @param body - its whole body
-   * @param answer - takes the answer
+   * @param route - the route that matched
+   * @param body - the complete body
+   * @param answer - the answer to the caller
    */
   constructor(
     context: contexts.ServingContext,
@@ -36,32 +36,32 @@
   ) {
     this.#context = context;
     this.#served = new servedRequests.ServedRequest(context, request, route, body);
-    this.#lessons = new endpointLessons.EndpointLessons(context, this.#served);
-    this.#end = new requestEnds.RequestEnd(context, this.#served, answer, () => this.#onOver());
+    this.#feedback = new endpointLessons.EndpointLessons(context, this.#served);
+    this.#end = new requestEnds.RequestEnd(context, this.#served, answer, () => this.#onEnded());
     this.#course = new sendCourses.SendCourse({
       context,
       served: this.#served,
-      memory: new promptMemories.PromptMemory(context),
-      lessons: this.#lessons,
+      handover: new promptMemories.PromptMemory(context),
+      feedback: this.#feedback,
       answer,
       end: this.#end,
     });
   }
 
-  /** @returns whether a part of the answer has left */
+  /** @returns whether a part of the answer has been sent to the caller */
   get answerHasBegun(): boolean {
     return this.#end.hasBegun;
   }
 
-  /** @returns whether nothing has run yet and nothing that may is on its way */
+  /** @returns whether nothing has run yet, and nothing that may run has been sent to an endpoint */
   get isUnsent(): boolean {
     return !this.#mayHaveRun();
   }
 
   /** Begins to serve the request. */
   start(): void {
-    // After a standstill timers have their turn before sockets: an answer that came in time would be thrown away for 504.
-    // What is put off to the end of the loop's turn comes after the sockets.
+    // After a pause of the process, timers run before pending socket reads: an answer that came in time would be
+    // discarded in favour of a 504. setImmediate runs the deadline after the reads.
     const onTime = (): unknown => setImmediate(() => this.#onDeadline());
     this.#deadlineTimer = setTimeout(onTime, Math.max(0, this.#served.remainingMs));
     this.#served.chooseService();
@@ -69,39 +69,39 @@
     this.#course.sendNext();
   }
 
-  /** The caller has left: what runs for it is cancelled. */
-  callerLeft(): void {
-    this.#end.callerLeft();
+  /** Handles that the caller has disconnected: the send under way is cancelled. */
+  onCallerDisconnected(): void {
+    this.#end.onCallerDisconnected();
   }
 
   /**
-   * Gives the request its true final answer at once: to come back if nothing of
-   * it can have run, else that its answer is lost. A stream is broken off.
+   * Ends the request at once. If nothing of it can have run, the caller is told to retry, otherwise that the answer is
+   * lost. A stream that has begun is aborted.
    *
-   * @param reason - why, for the log
+   * @param reason - outcome in the log
    */
   endNow(reason: string): void {
     if (this.#end.over) return;
-    if (this.#mayHaveRun()) this.#end.give(BAD_GATEWAY, reason, "the request may have run and its answer is lost");
+    if (this.#mayHaveRun()) this.#end.fail(BAD_GATEWAY, reason, "the request may have run and its answer is lost");
     else this.#end.reject(reason);
   }
 
   #onDeadline(): void {
     if (this.#end.over) return;
     const { active } = this.#course;
-    const ran = this.#mayHaveRun();
-    if (active !== undefined) this.#lessons.judge(active, serving.SendResult.Silent);
-    this.#end.timeUp(ran);
+    const mayHaveRun = this.#mayHaveRun();
+    if (active !== undefined) this.#feedback.judge(active, serving.SendResult.Silent);
+    this.#end.timeOut(mayHaveRun);
   }
 
-  /** @returns whether a send may have run the request, the one under way included */
+  /** @returns whether a send may have run the request, including the one under way */
   #mayHaveRun(): boolean {
     const { active } = this.#course;
-    const runs = active?.stage === sendChoosers.Stage.Answering && active.hasLeft;
-    return this.#served.mayHaveRun || runs;
+    const mayBeRunning = active?.stage === sendChoosers.Stage.Answering && active.hasLeft;
+    return this.#served.mayHaveRun || mayBeRunning;
   }
 
-  #onOver(): void {
+  #onEnded(): void {
     clearTimeout(this.#deadlineTimer);
     this.#course.stop();
   }
--- a/packages/gateway/src/sendCourse.ts
+++ b/packages/gateway/src/sendCourse.ts
@@ -11,7 +11,7 @@
 const GATEWAY_TIMEOUT = 504;
 
 /** The sends of one request, one after the other, until one gives its final answer. */
-export class SendCourse implements exchangeParts.SendResults {
+export class SendCourse implements exchangeParts.SendResultHandler {
   readonly #parts: exchangeParts.ExchangeParts;
   readonly #chooser: sendChoosers.SendChooser;
   #active: activeSends.ActiveSend | undefined;
@@ -47,19 +47,19 @@
   }
 
   #goOn(): void {
-    const { end, memory, served } = this.#parts;
+    const { end, handover, served } = this.#parts;
     if (end.over) return;
     // A loop that has fallen behind hears an endpoint before the deadline's own timer: sent on, the request would run
     // for a caller that has gone.
     if (served.remainingMs <= 0) {
-      end.timeUp(served.mayHaveRun);
+      end.timeOut(served.mayHaveRun);
       return;
     }
     if (!served.followConfiguration()) {
-      end.give(NOT_FOUND, "route-removed", "no route leads there any more");
+      end.fail(NOT_FOUND, "route-removed", "no route leads there any more");
       return;
     }
-    const lostReader = memory.dropLost();
+    const lostReader = handover.dropLost();
     if (lostReader !== undefined) {
       this.#readAgain(lostReader);
       return;
@@ -69,8 +69,8 @@
       end.reject(admitted.error.reason, admitted.error.returnAfterMs);
       return;
     }
-    if (admitted.value) memory.free();
-    const choice = admitted.value ? this.#chooser.chooseAlone() : this.#chooser.choose(memory.handedOver?.reader);
+    if (admitted.value) handover.free();
+    const choice = admitted.value ? this.#chooser.chooseAlone() : this.#chooser.choose(handover.handedOver?.reader);
     if (choice.isErr()) end.reject(choice.error.reason, choice.error.returnAfterMs);
     else this.#dispatch(choice.value);
   }
@@ -85,14 +85,14 @@
 
   /** {@inheritDoc exchangeParts.SendResults.failed} */
   failed(active: activeSends.ActiveSend, fate: serving.SendOutcome, detail: string): void {
-    const { context, end, lessons, memory, served } = this.#parts;
+    const { context, end, feedback, handover, served } = this.#parts;
     const declined = fate === serving.SendOutcome.Declined;
-    lessons.judge(active, declined ? serving.SendResult.Declined : serving.SendResult.Failed);
+    feedback.judge(active, declined ? serving.SendResult.Declined : serving.SendResult.Failed);
     this.#countFailed(active, fate);
     if (fate === serving.SendOutcome.Unknown) served.noteMayHaveRun();
-    if (declined && active.stage === sendChoosers.Stage.Answering) memory.free();
-    if (fate === serving.SendOutcome.Unknown) memory.noteTaken();
-    const step = served.decide(fate);
+    if (declined && active.stage === sendChoosers.Stage.Answering) handover.free();
+    if (fate === serving.SendOutcome.Unknown) handover.noteTaken();
+    const step = served.decideNextStep(fate);
     context.log.info("send-failed", {
       id: served.id,
       endpoint: active.endpoint.id,
@@ -105,8 +105,8 @@
     });
     if (step === serving.NextStep.SendAgain) this.sendNext();
     else if (step === serving.NextStep.Reject) end.reject(`send-${fate}`);
-    else if (step === serving.NextStep.TimedOut) end.give(GATEWAY_TIMEOUT, "timed-out", "the time is up");
-    else end.give(BAD_GATEWAY, "endpoint-failed", "the request may have run and its answer is lost");
+    else if (step === serving.NextStep.TimedOut) end.fail(GATEWAY_TIMEOUT, "timed-out", "the time is up");
+    else end.fail(BAD_GATEWAY, "endpoint-failed", "the request may have run and its answer is lost");
   }
 
   /** {@inheritDoc exchangeParts.SendResults.broken} */
@@ -131,7 +131,7 @@
       active.cancel();
       active.release();
     }
-    this.#parts.memory.free();
+    this.#parts.handover.free();
     this.#parts.context.suspects.release(this.#parts.served);
   }
 
@@ -150,7 +150,7 @@
   #readAgain(reader: serving.Endpoint): void {
     const { context, end, served } = this.#parts;
     served.countSend();
-    const step = served.decide(serving.SendOutcome.Declined);
+    const step = served.decideNextStep(serving.SendOutcome.Declined);
     context.log.info("handle-lost", { id: served.id, endpoint: reader.id, step });
     if (step === serving.NextStep.SendAgain) this.sendNext();
     else end.reject("handle-lost");
@@ -161,9 +161,9 @@
     const remainingMs = Math.floor(served.remainingMs);
     const active = new activeSends.ActiveSend(context, served, planned);
     this.#active = active;
-    served.noteTry(planned.endpoint.id);
+    served.markTried(planned.endpoint.id);
     if (planned.stage === sendChoosers.Stage.Answering) served.countSend();
-    const urgency = planned.plan?.urgency ?? (this.#parts.memory.handedOver === undefined ? undefined : 0);
+    const urgency = planned.plan?.urgency ?? (this.#parts.handover.handedOver === undefined ? undefined : 0);
     const message = this.#message(planned, remainingMs, urgency);
     context.log.info("send", {
       id: served.id,
@@ -189,8 +189,8 @@
     remainingMs: number,
     urgency: number | undefined,
   ): sendings.OutgoingRequest {
-    const { context, memory, served } = this.#parts;
-    const source = memory.handedOver;
+    const { context, handover, served } = this.#parts;
+    const source = handover.handedOver;
     const { lastEventId } = served.progress;
     const headers = context.format.writeSend(served.caller.headers, {
       deadlineMs: remainingMs,
@@ -213,12 +213,12 @@
   }
 
   #leaveSilent(active: activeSends.ActiveSend, silentMs: number): void {
-    const { context, lessons, served } = this.#parts;
+    const { context, feedback, served } = this.#parts;
     const reading = active.stage === sendChoosers.Stage.Reading;
     if (!reading && !serving.mayRetry(served.route)) return;
     const fate = reading ? serving.SendOutcome.Declined : serving.SendOutcome.Unknown;
     if (reading) served.countSend();
-    const step = served.decide(fate);
+    const step = served.decideNextStep(fate);
     if (step !== serving.NextStep.SendAgain) {
       if (reading) served.uncountSend();
       return;
@@ -231,7 +231,7 @@
       step,
     });
     if (!reading) served.noteMayHaveRun();
-    lessons.judge(active, serving.SendResult.Silent);
+    feedback.judge(active, serving.SendResult.Silent);
     active.cancel();
     if (this.end(active)) this.sendNext();
   }
