--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -187,7 +187,7 @@
    */
   readCaller(names: readonly string[]): neverthrow.Result<CallerHeaders, string>;
   /** @param caller - the caller's headers; @param send - what is added; @returns names and values by turns */
-  writeSend(caller: CallerHeaders, send: SendHeaders): string[];
+  writeRequestHeaders(caller: CallerHeaders, send: SendHeaders): string[];
   /** @param headers - the answer's headers by lower-case name; @param status - its status */
   readAnswer(status: number, headers: Readonly<Record<string, string | string[] | undefined>>): AnswerHead;
   /** @param body - body of an answer to a request that was only read */
--- a/packages/gateway/src/sendCourse.ts
+++ b/packages/gateway/src/sendCourse.ts
@@ -192,7 +192,7 @@
     const { context, memory, served } = this.#parts;
     const source = memory.handedOver;
     const { lastEventId } = served.progress;
-    const headers = context.format.writeSend(served.caller.headers, {
+    const headers = context.format.writeRequestHeaders(served.caller.headers, {
       deadlineMs: remainingMs,
       endpointId: planned.endpoint.id,
       ...(urgency === undefined ? {} : { urgency }),
--- a/packages/gateway/tests/helpers/exchangeStand.ts
+++ b/packages/gateway/tests/helpers/exchangeStand.ts
@@ -91,7 +91,7 @@
 const FORMAT: ports.MessageFormat = {
   retryAfterHeader: "retry",
   readCaller: unused,
-  writeSend: () => [],
+  writeRequestHeaders: () => [],
   readAnswer: (status, headers) => ({
     requestId: "request-1",
     sealed: headers.sealed !== undefined,
