--- a/packages/gateway/src/engineCalls.ts
+++ b/packages/gateway/src/engineCalls.ts
@@ -26,7 +26,7 @@
    */
   async askState(engine: serving.Endpoint): Promise<neverthrow.Result<ports.EngineState, string>> {
     const { format } = this.#context;
-    const answer = await this.#call(engine, format.engineQuestion());
+    const answer = await this.#call(engine, format.engineStateCall());
     return answer === undefined ? neverthrow.err("no answer") : format.readEngineState(answer.body);
   }
 
--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -195,8 +195,8 @@
   /** @param handle - the handle to free; @returns method and path of the call */
   freeHandle(handle: string): { readonly method: string; readonly path: string };
   /** @returns the call that asks an engine for its state */
-  engineQuestion(): EngineCall;
-  /** @param body - body of the answer to {@link MessageFormat.engineQuestion} */
+  engineStateCall(): EngineCall;
+  /** @param body - body of the answer to {@link MessageFormat.engineStateCall} */
   readEngineState(body: Uint8Array): neverthrow.Result<EngineState, string>;
   /** @param order - the order; @returns the call that gives it */
   roleOrder(order: RoleOrder): EngineCall;
--- a/packages/gateway/tests/helpers/exchangeStand.ts
+++ b/packages/gateway/tests/helpers/exchangeStand.ts
@@ -101,7 +101,7 @@
   }),
   readHandle: (body) => neverthrow.ok({ handle: Buffer.from(body).toString() }),
   freeHandle: (handle) => ({ method: "DELETE", path: `/free/${handle}` }),
-  engineQuestion: unused,
+  engineStateCall: unused,
   readEngineState: unused,
   roleOrder: unused,
 };
