--- a/packages/gateway/src/engineCalls.ts
+++ b/packages/gateway/src/engineCalls.ts
@@ -36,7 +36,7 @@
    * @returns status of the answer, or undefined if there was none
    */
   async order(engine: serving.Endpoint, order: ports.RoleOrder): Promise<number | undefined> {
-    const answer = await this.#call(engine, this.#context.format.roleOrder(order));
+    const answer = await this.#call(engine, this.#context.format.roleOrderCall(order));
     return answer?.status;
   }
 
--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -199,7 +199,7 @@
   /** @param body - body of the answer to {@link MessageFormat.engineStateCall} */
   readEngineState(body: Uint8Array): neverthrow.Result<EngineState, string>;
   /** @param order - the order; @returns the call that gives it */
-  roleOrder(order: RoleOrder): EngineCall;
+  roleOrderCall(order: RoleOrder): EngineCall;
   /** Name of the header that tells when to come back, in seconds. */
   readonly retryAfterHeader: string;
 }
--- a/packages/gateway/tests/helpers/exchangeStand.ts
+++ b/packages/gateway/tests/helpers/exchangeStand.ts
@@ -103,7 +103,7 @@
   freeHandle: (handle) => ({ method: "DELETE", path: `/free/${handle}` }),
   engineStateCall: unused,
   readEngineState: unused,
-  roleOrder: unused,
+  roleOrderCall: unused,
 };
 
 const SETTINGS: settingsModule.GatewaySettings = {
