--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -193,7 +193,7 @@
   /** @param body - body of an answer to a request that was only read */
   readHandle(body: Uint8Array): neverthrow.Result<ReadPrompt, string>;
   /** @param handle - the handle to free; @returns method and path of the call */
-  freeHandle(handle: string): { readonly method: string; readonly path: string };
+  freeHandleCall(handle: string): { readonly method: string; readonly path: string };
   /** @returns the call that asks an engine for its state */
   engineStateCall(): EngineCall;
   /** @param body - body of the answer to {@link MessageFormat.engineStateCall} */
--- a/packages/gateway/src/promptMemory.ts
+++ b/packages/gateway/src/promptMemory.ts
@@ -52,7 +52,7 @@
     this.#handedOver = undefined;
     // At a later life the handle would name what that has read for another request.
     if (handedOver === undefined || !this.#isKept(handedOver)) return;
-    const call = this.#context.format.freeHandle(handedOver.handle);
+    const call = this.#context.format.freeHandleCall(handedOver.handle);
     const ignore = (): void => undefined;
     this.#context.client.send(
       handedOver.reader,
--- a/packages/gateway/tests/helpers/exchangeStand.ts
+++ b/packages/gateway/tests/helpers/exchangeStand.ts
@@ -100,7 +100,7 @@
     endpointId: undefined,
   }),
   readHandle: (body) => neverthrow.ok({ handle: Buffer.from(body).toString() }),
-  freeHandle: (handle) => ({ method: "DELETE", path: `/free/${handle}` }),
+  freeHandleCall: (handle) => ({ method: "DELETE", path: `/free/${handle}` }),
   engineStateCall: unused,
   readEngineState: unused,
   roleOrderCall: unused,
