--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -124,7 +124,7 @@
   readonly endpointId: string;
   readonly urgency?: number;
   /** Only read the prompt, and answer with a handle. */
-  readonly readOnly?: boolean;
+  readonly prefillOnly?: boolean;
   /** Go on from the prompt that this engine has read. */
   readonly source?: { readonly address: string; readonly handle: string };
   /** Copy what this engine keeps of the prompt before reading the rest. */
--- a/packages/gateway/src/sendCourse.ts
+++ b/packages/gateway/src/sendCourse.ts
@@ -196,7 +196,7 @@
       deadlineMs: remainingMs,
       endpointId: planned.endpoint.id,
       ...(urgency === undefined ? {} : { urgency }),
-      ...(planned.stage === sendChoosers.Stage.Reading ? { readOnly: true } : {}),
+      ...(planned.stage === sendChoosers.Stage.Reading ? { prefillOnly: true } : {}),
       ...(source === undefined ? {} : { source: { address: source.reader.address, handle: source.handle } }),
       ...(planned.plan?.copySource === undefined ? {} : { copyFrom: planned.plan.copySource.address }),
       ...(lastEventId === undefined ? {} : { lastEventId }),
