--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -146,7 +146,7 @@
 }
 
 /** A prompt that an engine has read for another to go on with. */
-export interface ReadPrompt {
+export interface PrefillResult {
   readonly handle: string;
 }
 
@@ -191,7 +191,7 @@
   /** @param headers - the answer's headers by lower-case name; @param status - its status */
   readAnswer(status: number, headers: Readonly<Record<string, string | string[] | undefined>>): AnswerHead;
   /** @param body - body of an answer to a request that was only read */
-  readHandle(body: Uint8Array): neverthrow.Result<ReadPrompt, string>;
+  readHandle(body: Uint8Array): neverthrow.Result<PrefillResult, string>;
   /** @param handle - the handle to free; @returns method and path of the call */
   freeHandleCall(handle: string): { readonly method: string; readonly path: string };
   /** @returns the call that asks an engine for its state */
