--- a/packages/gateway/src/activeSend.ts
+++ b/packages/gateway/src/activeSend.ts
@@ -25,7 +25,7 @@
   readonly #context: contexts.ServingContext;
   readonly #silence: silenceWatches.SilenceWatch;
   #read: serving.PendingRead | undefined;
-  #sending: sendings.Sending | undefined;
+  #sending: sendings.InFlightRequest | undefined;
   #begun = false;
 
   /**
--- a/packages/gateway/src/endpointClient.ts
+++ b/packages/gateway/src/endpointClient.ts
@@ -63,7 +63,7 @@
     endpoint: serving.Endpoint,
     request: sendings.OutgoingRequest,
     receiver: sendings.AnswerReceiver,
-  ): sendings.Sending {
+  ): sendings.InFlightRequest {
     const parts = {
       lanes: this.#lanesOf(endpoint),
       request,
--- a/packages/gateway/src/endpointSend.ts
+++ b/packages/gateway/src/endpointSend.ts
@@ -19,7 +19,7 @@
 const FINAL_FROM = 200;
 
 /** One request on its way to an endpoint, and its answer on the way back. */
-export class EndpointSend implements sendings.Sending {
+export class EndpointSend implements sendings.InFlightRequest {
   readonly #parts: SendParts;
   readonly #lane: endpointLanes.Lane;
   #waiting: socketTurns.WaitingStep | undefined;
--- a/packages/gateway/src/sending.ts
+++ b/packages/gateway/src/sending.ts
@@ -29,7 +29,7 @@
 }
 
 /** A send that is under way. */
-export interface Sending {
+export interface InFlightRequest {
   /** Whether a part of the request may have left; before, its connection is being opened. */
   readonly hasLeft: boolean;
   /** Instant at which the request was handed to its connection, in milliseconds, once it was. */
@@ -38,7 +38,7 @@
   readonly unsentBytes: number;
   /** Closes the connection; the endpoint drops the request. */
   cancel(): void;
-  /** Reads no more of the answer until {@link Sending.resume}. */
+  /** Reads no more of the answer until {@link InFlightRequest.resume}. */
   pause(): void;
   resume(): void;
 }
--- a/packages/gateway/tests/helpers/exchangeStand.ts
+++ b/packages/gateway/tests/helpers/exchangeStand.ts
@@ -39,7 +39,7 @@
     endpoint: serving.Endpoint,
     request: sendings.OutgoingRequest,
     receiver: sendings.AnswerReceiver,
-  ): sendings.Sending {
+  ): sendings.InFlightRequest {
     const { fault } = this;
     this.fault = undefined;
     if (fault !== undefined) throw fault;
