--- a/packages/gateway/src/activeSend.ts
+++ b/packages/gateway/src/activeSend.ts
@@ -50,8 +50,8 @@
   }
 
   /** @returns whether a part of the request may have left for the endpoint */
-  get hasLeft(): boolean {
-    return this.#sending?.hasLeft === true;
+  get wasDispatched(): boolean {
+    return this.#sending?.wasDispatched === true;
   }
 
   /** @returns when its bytes left, for the log */
--- a/packages/gateway/src/endpointSend.ts
+++ b/packages/gateway/src/endpointSend.ts
@@ -46,7 +46,7 @@
   }
 
   /** {@inheritDoc sendings.Sending.hasLeft} */
-  get hasLeft(): boolean {
+  get wasDispatched(): boolean {
     return this.#leftAt !== undefined;
   }
 
@@ -128,7 +128,7 @@
 
   #onError(error: Error): void {
     this.#parts.onBroken();
-    this.#break(this.hasLeft ? serving.SendFate.Unknown : serving.SendFate.NotSent, error.message);
+    this.#break(this.wasDispatched ? serving.SendFate.Unknown : serving.SendFate.NotSent, error.message);
   }
 
   #noteHeard(): void {
--- a/packages/gateway/src/exchange.ts
+++ b/packages/gateway/src/exchange.ts
@@ -97,7 +97,7 @@
   /** @returns whether a send may have run the request, the one under way included */
   #mayHaveRun(): boolean {
     const { active } = this.#course;
-    const runs = active?.stage === sendChoosers.Stage.Answering && active.hasLeft;
+    const runs = active?.stage === sendChoosers.Stage.Answering && active.wasDispatched;
     return this.#served.mayHaveRun || runs;
   }
 
--- a/packages/gateway/src/sendCourse.ts
+++ b/packages/gateway/src/sendCourse.ts
@@ -40,7 +40,7 @@
     } catch (error) {
       const { message, stack } = error as Error;
       context.log.warn("request-fault", { id: served.id, detail: message, stack });
-      if (this.#active?.hasLeft === true && this.#active.stage === sendChoosers.Stage.Answering)
+      if (this.#active?.wasDispatched === true && this.#active.stage === sendChoosers.Stage.Answering)
         served.noteMayHaveRun();
       end.reject("request-fault");
     }
@@ -112,7 +112,7 @@
   /** {@inheritDoc exchangeParts.SendResults.broken} */
   broken(active: activeSends.ActiveSend, fate: serving.SendFate, detail: string): void {
     const { context, served } = this.#parts;
-    if (active.hasLeft) {
+    if (active.wasDispatched) {
       served.noteBroken(context.suspects.isSuspected(served));
       context.endDetector.noteBroken(active.endpoint, {
         fingerprints: served.fingerprints,
--- a/packages/gateway/src/sending.ts
+++ b/packages/gateway/src/sending.ts
@@ -31,7 +31,7 @@
 /** A send that is under way. */
 export interface InFlightRequest {
   /** Whether a part of the request may have left; before, its connection is being opened. */
-  readonly hasLeft: boolean;
+  readonly wasDispatched: boolean;
   /** Instant at which the request was handed to its connection, in milliseconds, once it was. */
   readonly leftAt: number | undefined;
   /** Bytes that the connection has been given and has not taken yet: its link or the endpoint is slow. */
--- a/packages/gateway/tests/helpers/exchangeStand.ts
+++ b/packages/gateway/tests/helpers/exchangeStand.ts
@@ -46,7 +46,7 @@
     const seen: SeenSend = { endpoint, path: request.path, receiver, cancelled: false };
     this.sends.push(seen);
     return {
-      hasLeft: true,
+      wasDispatched: true,
       leftAt: performance.now(),
       unsentBytes: 0,
       cancel: () => {
