--- a/packages/gateway/src/activeSend.ts
+++ b/packages/gateway/src/activeSend.ts
@@ -56,7 +56,7 @@
 
   /** @returns when its bytes left, for the log */
   get departure(): Departure {
-    const { leftAt, unsentBytes } = this.#sending ?? {};
+    const { dispatchedAt: leftAt, unsentBytes } = this.#sending ?? {};
     return {
       leftAfterMs: leftAt === undefined ? undefined : Math.round(leftAt - this.sentAt),
       unsentBytes: unsentBytes ?? 0,
--- a/packages/gateway/src/endpointSend.ts
+++ b/packages/gateway/src/endpointSend.ts
@@ -51,7 +51,7 @@
   }
 
   /** {@inheritDoc sendings.Sending.leftAt} */
-  get leftAt(): number | undefined {
+  get dispatchedAt(): number | undefined {
     return this.#leftAt;
   }
 
--- a/packages/gateway/src/sending.ts
+++ b/packages/gateway/src/sending.ts
@@ -33,7 +33,7 @@
   /** Whether a part of the request may have left; before, its connection is being opened. */
   readonly wasDispatched: boolean;
   /** Instant at which the request was handed to its connection, in milliseconds, once it was. */
-  readonly leftAt: number | undefined;
+  readonly dispatchedAt: number | undefined;
   /** Bytes that the connection has been given and has not taken yet: its link or the endpoint is slow. */
   readonly unsentBytes: number;
   /** Closes the connection; the endpoint drops the request. */
--- a/packages/gateway/tests/helpers/exchangeStand.ts
+++ b/packages/gateway/tests/helpers/exchangeStand.ts
@@ -47,7 +47,7 @@
     this.sends.push(seen);
     return {
       wasDispatched: true,
-      leftAt: performance.now(),
+      dispatchedAt: performance.now(),
       unsentBytes: 0,
       cancel: () => {
         seen.cancelled = true;
