--- a/packages/gateway/src/activeSend.ts
+++ b/packages/gateway/src/activeSend.ts
@@ -85,7 +85,7 @@
    *
    * @returns whether it was still being read
    */
-  endRead(): boolean {
+  finishPrefill(): boolean {
     if (this.#read === undefined) return false;
     this.#context.board.endRead(this.#read);
     this.#read = undefined;
@@ -117,7 +117,7 @@
 
   /** The send is over: its work is taken off the endpoint. */
   release(): void {
-    this.endRead();
+    this.finishPrefill();
     this.#context.board.endRun(this.endpoint.id);
     this.#silence.stop();
   }
--- a/packages/gateway/src/answerBody.ts
+++ b/packages/gateway/src/answerBody.ts
@@ -100,7 +100,7 @@
 
   #onEvent(event: eventSplitters.StreamEvent): void {
     const { active, answer, context, lessons, memory, served } = this.#send;
-    if (active.endRead()) lessons.learnTime(active);
+    if (active.finishPrefill()) lessons.learnTime(active);
     else if (active.noteBegun()) lessons.learnHandover(active);
     const now = performance.now();
     if (!served.progress.begun) {
