--- a/packages/gateway/src/activeSend.ts
+++ b/packages/gateway/src/activeSend.ts
@@ -94,7 +94,7 @@
   }
 
   /** @returns whether this is the first event of the send */
-  noteBegun(): boolean {
+  markFirstEvent(): boolean {
     const first = !this.#begun;
     this.#begun = true;
     return first;
--- a/packages/gateway/src/answerBody.ts
+++ b/packages/gateway/src/answerBody.ts
@@ -101,7 +101,7 @@
   #onEvent(event: eventSplitters.StreamEvent): void {
     const { active, answer, context, lessons, memory, served } = this.#send;
     if (active.finishPrefill()) lessons.learnTime(active);
-    else if (active.noteBegun()) lessons.learnHandover(active);
+    else if (active.markFirstEvent()) lessons.learnHandover(active);
     const now = performance.now();
     if (!served.progress.begun) {
       context.metrics.record(metricsModule.Duration.FirstEvent, now - served.caller.arrivedAt);
