--- a/packages/gateway/src/activeSend.ts
+++ b/packages/gateway/src/activeSend.ts
@@ -105,7 +105,7 @@
    *
    * @param answer - the caller's answer
    */
-  holdBack(answer: callerAnswers.CallerAnswer): void {
+  applyBackpressure(answer: callerAnswers.CallerAnswer): void {
     this.#sending?.pause();
     answer.onDrain(() => this.#sending?.resume());
   }
--- a/packages/gateway/src/answerBody.ts
+++ b/packages/gateway/src/answerBody.ts
@@ -110,6 +110,6 @@
     served.noteMayHaveRun();
     memory.noteTaken();
     answer.beginStream(this.#head.status, this.#head.headers);
-    if (!answer.write(event.bytes)) active.holdBack(answer);
+    if (!answer.write(event.bytes)) active.applyBackpressure(answer);
   }
 }
