--- a/packages/gateway/src/exchange.ts
+++ b/packages/gateway/src/exchange.ts
@@ -6,7 +6,7 @@
 import * as promptMemories from "./promptMemory.js";
 import * as requestEnds from "./requestEnd.js";
 import * as sendChoosers from "./sendChooser.js";
-import * as sendCourses from "./sendCourse.js";
+import * as requestForwarders from "./requestForwarder.js";
 import * as servedRequests from "./servedRequest.js";
 
 const BAD_GATEWAY = 502;
@@ -17,7 +17,7 @@
   readonly #served: servedRequests.ServedRequest;
   readonly #lessons: endpointLessons.EndpointLessons;
   readonly #end: requestEnds.RequestEnd;
-  readonly #course: sendCourses.SendCourse;
+  readonly #course: requestForwarders.RequestForwarder;
   #deadlineTimer: NodeJS.Timeout | undefined;
 
   /**
@@ -38,7 +38,7 @@
     this.#served = new servedRequests.ServedRequest(context, request, route, body);
     this.#lessons = new endpointLessons.EndpointLessons(context, this.#served);
     this.#end = new requestEnds.RequestEnd(context, this.#served, answer, () => this.#onOver());
-    this.#course = new sendCourses.SendCourse({
+    this.#course = new requestForwarders.RequestForwarder({
       context,
       served: this.#served,
       memory: new promptMemories.PromptMemory(context),
--- a/packages/gateway/src/sendCourse.ts
+++ b/packages/gateway/src/requestForwarder.ts
@@ -11,7 +11,7 @@
 const GATEWAY_TIMEOUT = 504;
 
 /** The sends of one request, one after the other, until one gives its final answer. */
-export class SendCourse implements exchangeParts.SendResults {
+export class RequestForwarder implements exchangeParts.SendResults {
   readonly #parts: exchangeParts.ExchangeParts;
   readonly #chooser: sendChoosers.SendChooser;
   #active: activeSends.ActiveSend | undefined;
