--- a/packages/gateway/src/answerBody.ts
+++ b/packages/gateway/src/answerBody.ts
@@ -48,7 +48,7 @@
     memory.noteTaken();
     const failed = status >= SERVER_ERRORS_FROM;
     const now = performance.now();
-    lessons.judge(active, failed ? serving.SendResult.Failed : serving.SendResult.Good);
+    lessons.recordResult(active, failed ? serving.SendResult.Failed : serving.SendResult.Good);
     if (answer.state === callerAnswers.AnswerState.Streaming) {
       const detail = `status ${status} to a stream that goes on`;
       results.failed(active, serving.SendFate.Unknown, detail);
@@ -93,7 +93,7 @@
       results.failed(active, serving.SendFate.Unknown, "the stream ended inside an event");
       return;
     }
-    lessons.judge(active, serving.SendResult.Good);
+    lessons.recordResult(active, serving.SendResult.Good);
     lessons.learnPause(active);
     end.endStream();
   }
--- a/packages/gateway/src/endpointLessons.ts
+++ b/packages/gateway/src/endpointLessons.ts
@@ -23,7 +23,7 @@
    * @param active - a send
    * @param result - what it says of its endpoint; a change of what is thought of it is logged
    */
-  judge(active: activeSends.ActiveSend, result: serving.SendResult): void {
+  recordResult(active: activeSends.ActiveSend, result: serving.SendResult): void {
     if (!this.#isOfThisLife(active)) return;
     const changed = this.#context.health.record(active.endpoint.id, result, performance.now());
     if (!changed) return;
--- a/packages/gateway/src/exchange.ts
+++ b/packages/gateway/src/exchange.ts
@@ -90,7 +90,7 @@
     if (this.#end.over) return;
     const { active } = this.#course;
     const ran = this.#mayHaveRun();
-    if (active !== undefined) this.#lessons.judge(active, serving.SendResult.Silent);
+    if (active !== undefined) this.#lessons.recordResult(active, serving.SendResult.Silent);
     this.#end.timeUp(ran);
   }
 
--- a/packages/gateway/src/promptReceiver.ts
+++ b/packages/gateway/src/promptReceiver.ts
@@ -38,7 +38,7 @@
     const whole = Buffer.concat(this.#chunks);
     const handle = this.#status === HTTP_OK ? context.format.readHandle(whole) : undefined;
     if (handle?.isOk() === true) {
-      lessons.judge(active, serving.SendResult.Good);
+      lessons.recordResult(active, serving.SendResult.Good);
       lessons.learnTime(active);
       memory.keep({ reader: active.endpoint, handle: handle.value.handle });
       served.forgetTry(active.endpoint.id);
--- a/packages/gateway/src/requestForwarder.ts
+++ b/packages/gateway/src/requestForwarder.ts
@@ -87,7 +87,7 @@
   failed(active: activeSends.ActiveSend, fate: serving.SendFate, detail: string): void {
     const { context, end, lessons, memory, served } = this.#parts;
     const declined = fate === serving.SendFate.Declined;
-    lessons.judge(active, declined ? serving.SendResult.Declined : serving.SendResult.Failed);
+    lessons.recordResult(active, declined ? serving.SendResult.Declined : serving.SendResult.Failed);
     this.#countFailed(active, fate);
     if (fate === serving.SendFate.Unknown) served.noteMayHaveRun();
     if (declined && active.stage === sendChoosers.Stage.Answering) memory.free();
@@ -231,7 +231,7 @@
       step,
     });
     if (!reading) served.noteMayHaveRun();
-    lessons.judge(active, serving.SendResult.Silent);
+    lessons.recordResult(active, serving.SendResult.Silent);
     active.cancel();
     if (this.end(active)) this.sendNext();
   }
