--- a/packages/gateway/src/answerBody.ts
+++ b/packages/gateway/src/answerBody.ts
@@ -100,7 +100,7 @@
 
   #onEvent(event: eventSplitters.StreamEvent): void {
     const { active, answer, context, lessons, memory, served } = this.#send;
-    if (active.finishPrefill()) lessons.learnTime(active);
+    if (active.finishPrefill()) lessons.learnPrefillTime(active);
     else if (active.markFirstEvent()) lessons.learnHandover(active);
     const now = performance.now();
     if (!served.progress.begun) {
--- a/packages/gateway/src/endpointLessons.ts
+++ b/packages/gateway/src/endpointLessons.ts
@@ -32,7 +32,7 @@
   }
 
   /** @param active - a send whose prompt has been read: the time that it took corrects later predictions */
-  learnTime(active: activeSends.ActiveSend): void {
+  learnPrefillTime(active: activeSends.ActiveSend): void {
     if (!this.#isOfThisLife(active)) return;
     const now = performance.now();
     const tookMs = now - active.sentAt;
--- a/packages/gateway/src/promptReceiver.ts
+++ b/packages/gateway/src/promptReceiver.ts
@@ -39,7 +39,7 @@
     const handle = this.#status === HTTP_OK ? context.format.readHandle(whole) : undefined;
     if (handle?.isOk() === true) {
       lessons.recordResult(active, serving.SendResult.Good);
-      lessons.learnTime(active);
+      lessons.learnPrefillTime(active);
       memory.keep({ reader: active.endpoint, handle: handle.value.handle });
       served.forgetTry(active.endpoint.id);
       results.sendNext();
