--- a/packages/gateway/src/endpointLessons.ts
+++ b/packages/gateway/src/endpointFeedback.ts
@@ -4,7 +4,7 @@
 import type * as servedRequests from "./servedRequest.js";
 
 /** What the sends of a request teach of the endpoints. */
-export class EndpointLessons {
+export class EndpointFeedback {
   readonly #context: contexts.ServingContext;
   readonly #served: servedRequests.ServedRequest;
 
--- a/packages/gateway/src/exchange.ts
+++ b/packages/gateway/src/exchange.ts
@@ -2,7 +2,7 @@
 import type * as callerAnswers from "./callerAnswer.js";
 import type * as callerRequests from "./callerRequest.js";
 import type * as contexts from "./context.js";
-import * as endpointLessons from "./endpointLessons.js";
+import * as endpointFeedbacks from "./endpointFeedback.js";
 import * as promptMemories from "./promptMemory.js";
 import * as requestEnds from "./requestEnd.js";
 import * as sendChoosers from "./sendChooser.js";
@@ -15,7 +15,7 @@
 export class Exchange {
   readonly #context: contexts.ServingContext;
   readonly #served: servedRequests.ServedRequest;
-  readonly #lessons: endpointLessons.EndpointLessons;
+  readonly #lessons: endpointFeedbacks.EndpointFeedback;
   readonly #end: requestEnds.RequestEnd;
   readonly #course: requestForwarders.RequestForwarder;
   #deadlineTimer: NodeJS.Timeout | undefined;
@@ -36,7 +36,7 @@
   ) {
     this.#context = context;
     this.#served = new servedRequests.ServedRequest(context, request, route, body);
-    this.#lessons = new endpointLessons.EndpointLessons(context, this.#served);
+    this.#lessons = new endpointFeedbacks.EndpointFeedback(context, this.#served);
     this.#end = new requestEnds.RequestEnd(context, this.#served, answer, () => this.#onOver());
     this.#course = new requestForwarders.RequestForwarder({
       context,
--- a/packages/gateway/src/exchangeParts.ts
+++ b/packages/gateway/src/exchangeParts.ts
@@ -2,7 +2,7 @@
 import type * as activeSends from "./activeSend.js";
 import type * as callerAnswers from "./callerAnswer.js";
 import type * as contexts from "./context.js";
-import type * as endpointLessons from "./endpointLessons.js";
+import type * as endpointFeedbacks from "./endpointFeedback.js";
 import type * as promptMemories from "./promptMemory.js";
 import type * as requestEnds from "./requestEnd.js";
 import type * as servedRequests from "./servedRequest.js";
@@ -12,7 +12,7 @@
   readonly context: contexts.ServingContext;
   readonly served: servedRequests.ServedRequest;
   readonly memory: promptMemories.PromptMemory;
-  readonly lessons: endpointLessons.EndpointLessons;
+  readonly lessons: endpointFeedbacks.EndpointFeedback;
   readonly answer: callerAnswers.CallerAnswer;
   readonly end: requestEnds.RequestEnd;
 }
