--- a/packages/gateway/src/answerBody.ts
+++ b/packages/gateway/src/answerBody.ts
@@ -45,7 +45,7 @@
   onEnd(): void {
     const { active, answer, end, lessons, memory, results, served } = this.#send;
     const { status, headers } = this.#head;
-    memory.noteTaken();
+    memory.markTaken();
     const failed = status >= SERVER_ERRORS_FROM;
     const now = performance.now();
     lessons.recordResult(active, failed ? serving.SendResult.Failed : serving.SendResult.Good);
@@ -108,7 +108,7 @@
     }
     served.progress.note(event.id, now);
     served.noteMayHaveRun();
-    memory.noteTaken();
+    memory.markTaken();
     answer.beginStream(this.#head.status, this.#head.headers);
     if (!answer.write(event.bytes)) active.applyBackpressure(answer);
   }
--- a/packages/gateway/src/promptMemory.ts
+++ b/packages/gateway/src/promptMemory.ts
@@ -28,7 +28,7 @@
   }
 
   /** An engine has gone on with it, or may have. */
-  noteTaken(): void {
+  markTaken(): void {
     this.#handedOver = undefined;
   }
 
--- a/packages/gateway/src/requestForwarder.ts
+++ b/packages/gateway/src/requestForwarder.ts
@@ -91,7 +91,7 @@
     this.#countFailed(active, fate);
     if (fate === serving.SendFate.Unknown) served.noteMayHaveRun();
     if (declined && active.stage === sendChoosers.Stage.Answering) memory.free();
-    if (fate === serving.SendFate.Unknown) memory.noteTaken();
+    if (fate === serving.SendFate.Unknown) memory.markTaken();
     const step = served.decide(fate);
     context.log.info("send-failed", {
       id: served.id,
