--- a/packages/gateway/src/exchange.ts
+++ b/packages/gateway/src/exchange.ts
@@ -3,7 +3,7 @@
 import type * as callerRequests from "./callerRequest.js";
 import type * as contexts from "./context.js";
 import * as endpointFeedbacks from "./endpointFeedback.js";
-import * as promptMemories from "./promptMemory.js";
+import * as prefillHandovers from "./prefillHandover.js";
 import * as requestEnds from "./requestEnd.js";
 import * as sendChoosers from "./sendChooser.js";
 import * as requestForwarders from "./requestForwarder.js";
@@ -41,7 +41,7 @@
     this.#course = new requestForwarders.RequestForwarder({
       context,
       served: this.#served,
-      memory: new promptMemories.PromptMemory(context),
+      memory: new prefillHandovers.PrefillHandover(context),
       lessons: this.#lessons,
       answer,
       end: this.#end,
--- a/packages/gateway/src/exchangeParts.ts
+++ b/packages/gateway/src/exchangeParts.ts
@@ -3,7 +3,7 @@
 import type * as callerAnswers from "./callerAnswer.js";
 import type * as contexts from "./context.js";
 import type * as endpointFeedbacks from "./endpointFeedback.js";
-import type * as promptMemories from "./promptMemory.js";
+import type * as prefillHandovers from "./prefillHandover.js";
 import type * as requestEnds from "./requestEnd.js";
 import type * as servedRequests from "./servedRequest.js";
 
@@ -11,7 +11,7 @@
 export interface ExchangeParts {
   readonly context: contexts.ServingContext;
   readonly served: servedRequests.ServedRequest;
-  readonly memory: promptMemories.PromptMemory;
+  readonly memory: prefillHandovers.PrefillHandover;
   readonly lessons: endpointFeedbacks.EndpointFeedback;
   readonly answer: callerAnswers.CallerAnswer;
   readonly end: requestEnds.RequestEnd;
--- a/packages/gateway/src/promptMemory.ts
+++ b/packages/gateway/src/prefillHandover.ts
@@ -8,7 +8,7 @@
 }
 
 /** The memory that an engine keeps of a request's prompt, until another engine goes on with it. */
-export class PromptMemory {
+export class PrefillHandover {
   readonly #context: contexts.ServingContext;
   #handedOver: HandedOver | undefined;
 
