--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -26,7 +26,7 @@
   readonly sizeShares: serving.SizeShares;
   readonly client: endpointClients.EndpointClient;
   /** Tells which endpoints have ended, and under what. */
-  readonly endDetector: endpointEndDetectors.EndpointEndDetector;
+  readonly crashDetector: endpointEndDetectors.EndpointEndDetector;
   /** Keeps requests that crash endpoints from them. */
   readonly suspects: suspectGates.SuspectGate;
   readonly budgets: RetryBudgets;
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -110,7 +110,7 @@
       onEnded: () => this.#metrics.count("endpoints_ended"),
       onEscalated: () => this.#peers.sayNow(),
     });
-    const { endDetector, gate: suspects } = this.#protection;
+    const { crashDetector: endDetector, gate: suspects } = this.#protection;
     this.#context = {
       settings,
       log: this.#log,
@@ -123,7 +123,7 @@
       demand: new serving.Demand(),
       sizeShares: new serving.SizeShares(),
       client,
-      endDetector,
+      crashDetector: endDetector,
       suspects,
       budgets: new contexts.RetryBudgets(settings.retryBounds, performance.now()),
       random,
--- a/packages/gateway/src/requestForwarder.ts
+++ b/packages/gateway/src/requestForwarder.ts
@@ -114,7 +114,7 @@
     const { context, served } = this.#parts;
     if (active.wasDispatched) {
       served.noteBroken(context.suspects.isSuspected(served));
-      context.endDetector.noteBroken(active.endpoint, {
+      context.crashDetector.noteBroken(active.endpoint, {
         fingerprints: served.fingerprints,
         brokeAt: performance.now(),
       });
--- a/packages/gateway/src/sendChooser.ts
+++ b/packages/gateway/src/sendChooser.ts
@@ -64,7 +64,7 @@
    * @returns the send, or why there is none
    */
   chooseAlone(): Choice {
-    const { board, endDetector, view } = this.#context;
+    const { board, crashDetector: endDetector, view } = this.#context;
     const definition = view.table?.service(this.#served.service);
     const prompt = this.#served.caller.headers.prompt;
     const now = performance.now();
--- a/packages/gateway/src/suspects/crashProtection.ts
+++ b/packages/gateway/src/suspects/crashProtection.ts
@@ -22,7 +22,7 @@
 
 /** Notices endpoints that end, counts the requests under which they did, and keeps those from the others. */
 export class CrashProtection {
-  readonly endDetector: endpointEndDetectors.EndpointEndDetector;
+  readonly crashDetector: endpointEndDetectors.EndpointEndDetector;
   readonly gate: suspectGates.SuspectGate;
   readonly #store: suspectStores.SuspectStore;
 
@@ -41,7 +41,7 @@
       log,
       recordOf: (fingerprint) => this.gate.table.recordOf(fingerprint, performance.now()),
     });
-    this.endDetector = new endpointEndDetectors.EndpointEndDetector({
+    this.crashDetector = new endpointEndDetectors.EndpointEndDetector({
       log,
       hasLiveConnection: (endpointId) => client.hasLiveConnection(endpointId),
       isLeaving: ({ id }) => !directory.mayServe(id),
--- a/packages/gateway/tests/helpers/exchangeStand.ts
+++ b/packages/gateway/tests/helpers/exchangeStand.ts
@@ -197,7 +197,7 @@
       demand: new serving.Demand(),
       sizeShares: new serving.SizeShares(),
       client: this.#client,
-      endDetector: new endpointEndDetectors.EndpointEndDetector({
+      crashDetector: new endpointEndDetectors.EndpointEndDetector({
         log: new decisionLogs.DecisionLog("vm-1", "info", sink),
         hasLiveConnection: () => true,
         isLeaving: () => false,
