--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -1,7 +1,7 @@
 import * as common from "@camphorcourse/common";
 import * as serving from "@camphorcourse/serving";
 import type * as decisionLogs from "./decisionLog.js";
-import type * as endpointEndDetectors from "./endpointEndDetector.js";
+import type * as crashDetectors from "./endpointCrashDetector.js";
 import type * as endpointClients from "./endpointClient.js";
 import type * as fleetViews from "./fleetView.js";
 import type * as metricsModule from "./metrics.js";
@@ -26,7 +26,7 @@
   readonly sizeShares: serving.SizeShares;
   readonly client: endpointClients.EndpointClient;
   /** Tells which endpoints have ended, and under what. */
-  readonly crashDetector: endpointEndDetectors.EndpointEndDetector;
+  readonly crashDetector: crashDetectors.EndpointCrashDetector;
   /** Keeps requests that crash endpoints from them. */
   readonly suspects: suspectGates.SuspectGate;
   readonly budgets: RetryBudgets;
--- a/packages/gateway/src/endpointEndDetector.ts
+++ b/packages/gateway/src/endpointCrashDetector.ts
@@ -50,7 +50,7 @@
  * Tells an endpoint that has ended from one that lost an answer. Both look the same on the connection that broke; one that
  * has ended refuses further ones. A silent VM is neither, and proves nothing.
  */
-export class EndpointEndDetector {
+export class EndpointCrashDetector {
   readonly #parts: EndpointEndDetectorParts;
   readonly #checks = new Map<string, Check>();
   /** Endpoints that have ended, with their lives' starts and when that was seen. */
--- a/packages/gateway/src/suspects/crashProtection.ts
+++ b/packages/gateway/src/suspects/crashProtection.ts
@@ -1,7 +1,7 @@
 import type * as serving from "@camphorcourse/serving";
 import type * as decisionLogs from "../decisionLog.js";
 import type * as endpointClients from "../endpointClient.js";
-import * as endpointEndDetectors from "../endpointEndDetector.js";
+import * as endpointEndDetectors from "../endpointCrashDetector.js";
 import type * as ports from "../ports.js";
 import * as suspectGates from "./suspectGate.js";
 import * as suspectStores from "./suspectStore.js";
@@ -22,7 +22,7 @@
 
 /** Notices endpoints that end, counts the requests under which they did, and keeps those from the others. */
 export class CrashProtection {
-  readonly crashDetector: endpointEndDetectors.EndpointEndDetector;
+  readonly crashDetector: endpointEndDetectors.EndpointCrashDetector;
   readonly gate: suspectGates.SuspectGate;
   readonly #store: suspectStores.SuspectStore;
 
@@ -41,7 +41,7 @@
       log,
       recordOf: (fingerprint) => this.gate.table.recordOf(fingerprint, performance.now()),
     });
-    this.crashDetector = new endpointEndDetectors.EndpointEndDetector({
+    this.crashDetector = new endpointEndDetectors.EndpointCrashDetector({
       log,
       hasLiveConnection: (endpointId) => client.hasLiveConnection(endpointId),
       isLeaving: ({ id }) => !directory.mayServe(id),
--- a/packages/gateway/src/suspects/suspectGate.ts
+++ b/packages/gateway/src/suspects/suspectGate.ts
@@ -2,7 +2,7 @@
 import * as serving from "@camphorcourse/serving";
 import * as neverthrow from "neverthrow";
 import type * as decisionLogs from "../decisionLog.js";
-import type * as endpointEndDetectors from "../endpointEndDetector.js";
+import type * as endpointEndDetectors from "../endpointCrashDetector.js";
 import type * as sendChoosers from "../sendChooser.js";
 import type * as servedRequests from "../servedRequest.js";
 
--- a/packages/gateway/tests/endpointEndDetector.test.ts
+++ b/packages/gateway/tests/endpointCrashDetector.test.ts
@@ -3,7 +3,7 @@
 import * as uvu from "uvu";
 import * as assert from "uvu/assert";
 import * as decisionLogs from "../src/decisionLog.js";
-import * as endpointEndDetectors from "../src/endpointEndDetector.js";
+import * as endpointEndDetectors from "../src/endpointCrashDetector.js";
 
 const FINGERPRINTS: serving.Fingerprints = { content: "c1", ofCaller: "o1" };
 
@@ -13,7 +13,7 @@
 const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
 interface Stand {
-  readonly ends: endpointEndDetectors.EndpointEndDetector;
+  readonly ends: endpointEndDetectors.EndpointCrashDetector;
   readonly ended: [id: string, runs: number][];
   readonly lines: string[];
 }
@@ -21,7 +21,7 @@
 function stand(options: { readonly isLeaving?: boolean; readonly hasLiveConnection?: boolean } = {}): Stand {
   const ended: [string, number][] = [];
   const lines: string[] = [];
-  const ends = new endpointEndDetectors.EndpointEndDetector({
+  const ends = new endpointEndDetectors.EndpointCrashDetector({
     log: new decisionLogs.DecisionLog("vm-1", "info", { writableLength: 0, write: (line) => lines.push(line) > 0 }),
     hasLiveConnection: () => options.hasLiveConnection ?? false,
     isLeaving: () => options.isLeaving ?? false,
--- a/packages/gateway/tests/helpers/exchangeStand.ts
+++ b/packages/gateway/tests/helpers/exchangeStand.ts
@@ -7,7 +7,7 @@
 import * as contexts from "../../src/context.js";
 import * as decisionLogs from "../../src/decisionLog.js";
 import type * as sendings from "../../src/sending.js";
-import * as endpointEndDetectors from "../../src/endpointEndDetector.js";
+import * as crashDetectors from "../../src/endpointCrashDetector.js";
 import * as endpointClients from "../../src/endpointClient.js";
 import * as exchanges from "../../src/exchange.js";
 import * as fleetViews from "../../src/fleetView.js";
@@ -197,7 +197,7 @@
       demand: new serving.Demand(),
       sizeShares: new serving.SizeShares(),
       client: this.#client,
-      crashDetector: new endpointEndDetectors.EndpointEndDetector({
+      crashDetector: new crashDetectors.EndpointCrashDetector({
         log: new decisionLogs.DecisionLog("vm-1", "info", sink),
         hasLiveConnection: () => true,
         isLeaving: () => false,
