--- a/packages/gateway/src/endpointCrashDetector.ts
+++ b/packages/gateway/src/endpointCrashDetector.ts
@@ -38,7 +38,7 @@
   /** @returns whether the endpoint is expected to end, as it is leaving or gone */
   readonly isLeaving: (endpoint: serving.Endpoint) => boolean;
   /** Takes an endpoint that has ended, and what was running there for this daemon's callers. */
-  readonly onEnded: (endpoint: serving.Endpoint, runs: readonly BrokenRun[]) => void;
+  readonly onCrashed: (endpoint: serving.Endpoint, runs: readonly BrokenRun[]) => void;
 }
 
 interface Check {
@@ -104,7 +104,7 @@
       runs: runs.length,
       fingerprints: fingerprints.join(" "),
     });
-    this.#parts.onEnded(endpoint, runs);
+    this.#parts.onCrashed(endpoint, runs);
   }
 }
 
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -107,7 +107,7 @@
       log: this.#log,
       client,
       directory: this.#view.directory,
-      onEnded: () => this.#metrics.count("endpoints_ended"),
+      onCrashed: () => this.#metrics.count("endpoints_ended"),
       onEscalated: () => this.#peers.sayNow(),
     });
     const { crashDetector: endDetector, gate: suspects } = this.#protection;
--- a/packages/gateway/src/suspects/crashProtection.ts
+++ b/packages/gateway/src/suspects/crashProtection.ts
@@ -15,7 +15,7 @@
   readonly client: endpointClients.EndpointClient;
   readonly directory: serving.EndpointDirectory;
   /** Called for each endpoint that has ended. */
-  readonly onEnded: () => void;
+  readonly onCrashed: () => void;
   /** Called when the peers are to hear of a suspect at once. */
   readonly onEscalated: () => void;
 }
@@ -28,7 +28,7 @@
 
   /** @param parts - what it needs */
   constructor(parts: CrashProtectionParts) {
-    const { store, prefix, log, client, directory, onEnded, onEscalated } = parts;
+    const { store, prefix, log, client, directory, onCrashed: onEnded, onEscalated } = parts;
     this.gate = new suspectGates.SuspectGate({
       log,
       heardAt: (endpointId) => client.heardAt(endpointId),
@@ -45,7 +45,7 @@
       log,
       hasLiveConnection: (endpointId) => client.hasLiveConnection(endpointId),
       isLeaving: ({ id }) => !directory.mayServe(id),
-      onEnded: (endpoint, runs) => {
+      onCrashed: (endpoint, runs) => {
         onEnded();
         this.gate.noteEnded(endpoint, runs);
       },
--- a/packages/gateway/tests/endpointCrashDetector.test.ts
+++ b/packages/gateway/tests/endpointCrashDetector.test.ts
@@ -25,7 +25,7 @@
     log: new decisionLogs.DecisionLog("vm-1", "info", { writableLength: 0, write: (line) => lines.push(line) > 0 }),
     hasLiveConnection: () => options.hasLiveConnection ?? false,
     isLeaving: () => options.isLeaving ?? false,
-    onEnded: ({ id }, runs) => ended.push([id, runs.length]),
+    onCrashed: ({ id }, runs) => ended.push([id, runs.length]),
   });
   return { ends, ended, lines };
 }
--- a/packages/gateway/tests/helpers/exchangeStand.ts
+++ b/packages/gateway/tests/helpers/exchangeStand.ts
@@ -201,7 +201,7 @@
         log: new decisionLogs.DecisionLog("vm-1", "info", sink),
         hasLiveConnection: () => true,
         isLeaving: () => false,
-        onEnded: () => undefined,
+        onCrashed: () => undefined,
       }),
       suspects: new suspectGates.SuspectGate({
         log: new decisionLogs.DecisionLog("vm-1", "info", sink),
