--- a/packages/gateway/src/requestEnd.ts
+++ b/packages/gateway/src/requestEnd.ts
@@ -73,14 +73,14 @@
   pass(status: number, headers: sendings.AnswerHeaders, body: Buffer, now: number): void {
     this.#context.metrics.record(metricsModule.Duration.Request, now - this.#served.caller.arrivedAt);
     this.#answer.pass(status, headers, body);
-    this.#context.suspects.noteCleanRun(this.#served);
+    this.#context.suspects.noteSuccess(this.#served);
     this.#finish("answered", status);
   }
 
   /** The caller's stream is complete. */
   endStream(): void {
     this.#answer.endStream();
-    this.#context.suspects.noteCleanRun(this.#served);
+    this.#context.suspects.noteSuccess(this.#served);
     this.#finish("answered", HTTP_OK);
   }
 
--- a/packages/gateway/src/suspects/suspectGate.ts
+++ b/packages/gateway/src/suspects/suspectGate.ts
@@ -74,7 +74,7 @@
   }
 
   /** @param served - a request whose run has ended well */
-  noteCleanRun(served: servedRequests.ServedRequest): void {
+  noteSuccess(served: servedRequests.ServedRequest): void {
     if (this.table.isEmpty) return;
     const now = performance.now();
     const { content, ofCaller } = served.fingerprints;
