--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -137,7 +137,7 @@
       log: this.#log,
       onEndpoint: (news) => this.#onEndpoint(news),
       onSuspect: (record) => suspects.table.merge(record, performance.now()),
-      onRoleChange: (service, role, agoMs) => this.#roles.changed(service, role, agoMs),
+      onRoleChange: (service, role, agoMs) => this.#roles.noteRoleChange(service, role, agoMs),
       onConfiguration: () => {
         this.#listener.followLimits();
         this.#peers.noteConfiguration();
--- a/packages/gateway/src/roleChanger.ts
+++ b/packages/gateway/src/roleChanger.ts
@@ -64,7 +64,7 @@
    * @param role - the engine's role to come
    * @param agoMs - how long ago it was made, in milliseconds
    */
-  changed(service: string, role: serving.EngineRole, agoMs: number): void {
+  noteRoleChange(service: string, role: serving.EngineRole, agoMs: number): void {
     this.#balance(service).changed(performance.now() - agoMs, role);
   }
 
@@ -157,7 +157,7 @@
     if (token === undefined) return;
     const order = { role: change.role, holder: context.settings.vm, token, expectedOrders: state.value.ordersAccepted };
     if (!(await this.#give(engine, change, order))) return;
-    this.changed(service, change.role, 0);
+    this.noteRoleChange(service, change.role, 0);
     await this.#tellChange(service, engine.id, change.role);
   }
 
