--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -195,7 +195,7 @@
       authority: this.#authority,
       store: surroundings.store,
       changeKey: surroundings.layout.roleChangeKey,
-      readingLoad: () =>
+      prefillLoad: () =>
         this.#fromAll((peer) => peer.readingLoad) + this.#context.demand.readingLoad(performance.now()),
       eventsPerMs: () =>
         this.#fromAll((peer) => peer.eventsPerMs) + this.#context.demand.eventsPerMs(performance.now()),
--- a/packages/gateway/src/roleChanger.ts
+++ b/packages/gateway/src/roleChanger.ts
@@ -27,7 +27,7 @@
   /** Key under which the last change is told to all daemons. */
   readonly changeKey: string;
   /** Prefill engines that reading all daemons' prompts keeps busy. */
-  readonly readingLoad: () => number;
+  readonly prefillLoad: () => number;
   /** Events that all daemons' streams ask for in a millisecond. */
   readonly eventsPerMs: () => number;
 }
@@ -103,7 +103,7 @@
     }));
     return this.#balance(service).decide({
       engines,
-      readingLoad: this.#parts.readingLoad(),
+      readingLoad: this.#parts.prefillLoad(),
       eventsPerMs: this.#parts.eventsPerMs(),
       speeds: speeds.of(service),
       streamsInMemory: limits.memoryTokens / Math.max(1, demand.meanPromptTokens(now) ?? 1),
