--- a/packages/gateway/src/engineCalls.ts
+++ b/packages/gateway/src/engineCalls.ts
@@ -3,7 +3,7 @@
 import type * as contexts from "./context.js";
 import type * as ports from "./ports.js";
 
-/** Time for an engine's answer to an order or a question, in milliseconds. */
+/** Time for an engine to answer a call, in milliseconds. */
 const CALL_TIMEOUT_MS = 1_500;
 
 interface EngineAnswer {
@@ -11,7 +11,7 @@
   readonly body: Buffer;
 }
 
-/** The gateway's own calls to engines: the question for their state, and orders. */
+/** Calls that the gateway itself makes to engines: queries of their state, and role orders. */
 export class EngineCalls {
   readonly #context: contexts.ServingContext;
 
@@ -24,7 +24,7 @@
    * @param engine - the engine
    * @returns its state, or why it is not known
    */
-  async askState(engine: serving.Endpoint): Promise<neverthrow.Result<ports.EngineState, string>> {
+  async fetchState(engine: serving.Endpoint): Promise<neverthrow.Result<ports.EngineState, string>> {
     const { format } = this.#context;
     const answer = await this.#call(engine, format.engineStateCall());
     return answer === undefined ? neverthrow.err("no answer") : format.readEngineState(answer.body);
@@ -35,7 +35,7 @@
    * @param order - the order to take another role
    * @returns status of the answer, or undefined if there was none
    */
-  async order(engine: serving.Endpoint, order: ports.RoleOrder): Promise<number | undefined> {
+  async sendRoleOrder(engine: serving.Endpoint, order: ports.RoleOrder): Promise<number | undefined> {
     const answer = await this.#call(engine, this.#context.format.roleOrderCall(order));
     return answer?.status;
   }
@@ -44,17 +44,17 @@
     return new Promise((resolve) => {
       const chunks: Buffer[] = [];
       let status = 0;
-      // Put off to the end of the loop's turn: after a standstill an answer may lie in the socket.
+      // Deferred to the end of the event loop's turn: after a pause of the process, the answer may wait in the socket.
       const timer = setTimeout(() => setImmediate(giveUp), CALL_TIMEOUT_MS);
       const giveUp = (): void => {
-        sending.cancel();
+        request.cancel();
         resolve(undefined);
       };
-      const done = (answer: EngineAnswer | undefined): void => {
+      const finish = (answer: EngineAnswer | undefined): void => {
         clearTimeout(timer);
         resolve(answer);
       };
-      const sending = this.#context.client.send(
+      const request = this.#context.client.send(
         engine,
         {
           method: call.method,
@@ -68,8 +68,8 @@
             return true;
           },
           onData: (chunk) => chunks.push(chunk),
-          onEnd: () => done({ status, body: Buffer.concat(chunks) }),
-          onBroken: () => done(undefined),
+          onEnd: () => finish({ status, body: Buffer.concat(chunks) }),
+          onBroken: () => finish(undefined),
         },
       );
     });
--- a/packages/gateway/src/roleChanger.ts
+++ b/packages/gateway/src/roleChanger.ts
@@ -5,34 +5,33 @@
 import type * as orderAuthorities from "./orderAuthority.js";
 import type * as ports from "./ports.js";
 
-/** Interval at which the balance is looked at, in milliseconds. */
-const LOOK_EVERY_MS = 300;
+/** Interval at which the balance of the roles is checked, in milliseconds. */
+const CHECK_INTERVAL_MS = 300;
 
 /**
- * Time for which an engine gets no new work after an order, in milliseconds: it
- * finishes what runs and is away some seconds. Its registered role ends the wait
- * sooner.
+ * Time for which an engine gets no new work after an order, in milliseconds: it finishes its running requests and is
+ * then unavailable for some seconds. The time ends early once the engine registers with its new role.
  */
 const CHANGING_MS = 12_500;
 
 const OK = 200;
 const ACCEPTED = 202;
-const FENCED = 412;
+const PRECONDITION_FAILED = 412;
 
 /** What changing roles needs. */
 export interface RoleChangerParts {
   readonly context: contexts.ServingContext;
   readonly authority: orderAuthorities.OrderAuthority;
   readonly store: ports.DurableStore;
-  /** Key under which the last change is told to all daemons. */
+  /** Key under which the last change is published to all daemons. */
   readonly changeKey: string;
-  /** Prefill engines that reading all daemons' prompts keeps busy. */
+  /** Number of prefill engines that the prompts of all daemons keep busy. */
   readonly prefillLoad: () => number;
-  /** Events that all daemons' streams ask for in a millisecond. */
+  /** Stream events per millisecond that the requests of all daemons ask for. */
   readonly eventsPerMs: () => number;
 }
 
-/** Gives engines another role when the mix of prompts and answers has shifted for good. */
+/** Orders engines to take another role after a lasting change in the ratio of prefill to decode work. */
 export class RoleChanger {
   readonly #parts: RoleChangerParts;
   readonly #calls: engineCalls.EngineCalls;
@@ -49,19 +48,21 @@
     this.#calls = new engineCalls.EngineCalls(parts.context);
   }
 
-  /** Begins to look at the balance. */
+  /** Starts the periodic check. */
   start(): void {
-    this.#timer = setInterval(() => this.#look(), LOOK_EVERY_MS);
+    this.#timer = setInterval(() => this.#check(), CHECK_INTERVAL_MS);
   }
 
-  /** Ends changing roles. */
+  /** Stops the periodic check. */
   stop(): void {
     clearInterval(this.#timer);
   }
 
   /**
-   * @param service - a service of which a change became known
-   * @param role - the engine's role to come
+   * Takes note of a role change that this daemon or another one has made.
+   *
+   * @param service - the engine's service
+   * @param role - the engine's new role
    * @param agoMs - how long ago it was made, in milliseconds
    */
   noteRoleChange(service: string, role: serving.EngineRole, agoMs: number): void {
@@ -73,14 +74,14 @@
     this.#failedAt.delete(endpointId);
   }
 
-  #look(): void {
+  #check(): void {
     const { context, authority } = this.#parts;
     if (this.#busy || !authority.held) return;
     for (const service of context.view.table?.configuration.services ?? []) {
       if (service.engine === undefined) continue;
       const change = this.#decide(service.name, service.engine);
       this.#logOutlook(service.name);
-      // Looked at while the right is held and can't be used yet: by then the reason has held.
+      // Evaluated also while the authority is held but not yet usable: once it is, the need for the change has lasted.
       if (change === undefined || authority.token() === undefined) continue;
       this.#busy = true;
       void this.#carryOut(service.name, change).finally(() => {
@@ -111,14 +112,14 @@
     });
   }
 
-  /** One line each time that another role is wanted or the split differs: without it nothing tells why no order came. */
+  /** Logs each change of the wanted role or the split of the roles; without it, nothing shows why no order was sent. */
   #logOutlook(service: string): void {
     const outlook = this.#balance(service).outlook;
     if (outlook === undefined) return;
     const { wanted, urgent, prefill, decode } = outlook;
-    const seen = `${wanted} ${urgent} ${prefill} ${decode}`;
-    if (this.#loggedOutlooks.get(service) === seen) return;
-    this.#loggedOutlooks.set(service, seen);
+    const summary = `${wanted} ${urgent} ${prefill} ${decode}`;
+    if (this.#loggedOutlooks.get(service) === summary) return;
+    this.#loggedOutlooks.set(service, summary);
     const { heldMs, restMs } = outlook;
     this.#parts.context.log.info("role-outlook", {
       service,
@@ -145,29 +146,29 @@
     const engine = context.view.directory.serving(service).find((each) => each.id === change.endpointId);
     if (engine === undefined) return;
     this.#balance(service).putOff();
-    const asked = await this.#calls.askState(engine);
-    const state = asked.andThen((reported) => this.#checkState(engine, reported));
+    const fetched = await this.#calls.fetchState(engine);
+    const state = fetched.andThen((reported) => this.#checkState(engine, reported));
     if (state.isErr()) {
       this.#putOff(engine, state.error);
       return;
     }
     this.#failedAt.delete(engine.id);
-    // Between question and order the authority may have ended; the last look is right before sending.
+    // The authority may have ended since the state was requested, so it is checked again right before the order is sent.
     const token = authority.token();
     if (token === undefined) return;
     const order = { role: change.role, holder: context.settings.vm, token, expectedOrders: state.value.ordersAccepted };
-    if (!(await this.#give(engine, change, order))) return;
+    if (!(await this.#sendOrder(engine, change, order))) return;
     this.noteRoleChange(service, change.role, 0);
-    await this.#tellChange(service, engine.id, change.role);
+    await this.#publishChange(service, engine.id, change.role);
   }
 
-  /** @returns whether the engine carries the order out */
-  async #give(engine: serving.Endpoint, change: serving.RoleChange, order: ports.RoleOrder): Promise<boolean> {
+  /** @returns whether the engine carries out the order */
+  async #sendOrder(engine: serving.Endpoint, change: serving.RoleChange, order: ports.RoleOrder): Promise<boolean> {
     const { context, authority } = this.#parts;
     const { log, view } = context;
     const until = performance.now() + CHANGING_MS;
     view.changing.set(engine.id, { until, role: change.role, bornAt: engine.bornAt });
-    const status = await this.#calls.order(engine, order);
+    const status = await this.#calls.sendRoleOrder(engine, order);
     log.info("role-change", {
       endpoint: engine.id,
       from: engine.role,
@@ -179,55 +180,55 @@
       status: status ?? "no answer",
     });
     context.metrics.count("role_orders");
-    if (status === FENCED) authority.refused();
+    if (status === PRECONDITION_FAILED) authority.refused();
     const accepted = status === undefined ? await this.#wasAccepted(engine, order) : isAcceptance(status);
     if (!accepted) view.changing.delete(engine.id);
     return accepted;
   }
 
   /**
-   * An order without an answer is open until the engine has been asked again. One
-   * that was lost on the way would otherwise keep the engine out of use, and the
-   * service without its role, for the whole time of a change. If the engine has
-   * accepted none since, the order may be given again: both name the number of
-   * orders before them, so that only one of two that arrive is carried out. A later
-   * life has accepted nothing that was sent to the one before.
+   * Asks the engine whether it has accepted an order that got no answer.
+   *
+   * An order lost on the way would otherwise keep the engine out of use, and the service without its role, for the whole
+   * time of a change. If the engine has accepted no order since, this one may be sent again: both name the number of
+   * orders before them, so that only one of two that arrive is carried out. An engine that has restarted has not
+   * accepted an order that was sent to its earlier incarnation.
    */
   async #wasAccepted(engine: serving.Endpoint, order: ports.RoleOrder): Promise<boolean> {
-    const state = await this.#calls.askState(engine);
+    const state = await this.#calls.fetchState(engine);
     if (state.isErr()) {
       this.#putOff(engine, state.error);
       return false;
     }
-    const startedAgain = this.#hasStartedAgain(engine, state.value);
-    const accepted = !startedAgain && (state.value.busy || state.value.ordersAccepted !== order.expectedOrders);
+    const restarted = this.#hasRestarted(engine, state.value);
+    const accepted = !restarted && (state.value.busy || state.value.ordersAccepted !== order.expectedOrders);
     this.#parts.context.log.info("role-change-read-back", {
       endpoint: engine.id,
       accepted,
-      startedAgain,
+      startedAgain: restarted,
       expectedOrders: order.expectedOrders,
       ordersAccepted: state.value.ordersAccepted,
     });
     return accepted;
   }
 
-  /** @returns the state, or what keeps the engine from an order */
+  /** @returns the state, or why the engine can't take an order */
   #checkState(engine: serving.Endpoint, state: ports.EngineState): neverthrow.Result<ports.EngineState, string> {
     if (state.busy) return neverthrow.err("busy");
-    if (this.#hasStartedAgain(engine, state)) return neverthrow.err("started again");
+    if (this.#hasRestarted(engine, state)) return neverthrow.err("started again");
     return neverthrow.ok(state);
   }
 
   /**
-   * An engine's count of orders starts anew with each life. An order that rests on
-   * the entry of one life and the count of another could be carried out by an
-   * engine that has just come, whose role nobody has looked at.
+   * Whether the state was reported by another incarnation than the known entry. An engine's count of orders restarts
+   * with each incarnation: an order based on the entry of one and the count of another could be carried out by an engine
+   * that has just started and whose role nobody has checked.
    */
-  #hasStartedAgain(engine: serving.Endpoint, state: ports.EngineState): boolean {
+  #hasRestarted(engine: serving.Endpoint, state: ports.EngineState): boolean {
     const { directory } = this.#parts.context.view;
     const { bornAt } = state;
-    const otherLife = bornAt !== undefined && engine.bornAt !== undefined && bornAt !== engine.bornAt;
-    return otherLife || !directory.isSameLife(engine);
+    const otherIncarnation = bornAt !== undefined && engine.bornAt !== undefined && bornAt !== engine.bornAt;
+    return otherIncarnation || !directory.isSameLife(engine);
   }
 
   #putOff(engine: serving.Endpoint, reason: string): void {
@@ -235,8 +236,8 @@
     this.#parts.context.log.info("role-change-put-off", { endpoint: engine.id, reason });
   }
 
-  /** All daemons rest after a change, also those that may take the authority over. */
-  async #tellChange(service: string, endpoint: string, role: serving.EngineRole): Promise<void> {
+  /** Starts the cooldown at all daemons, including those that may take over the authority. */
+  async #publishChange(service: string, endpoint: string, role: serving.EngineRole): Promise<void> {
     const value = Buffer.from(JSON.stringify({ service, endpoint, role, at: Date.now() }));
     const put = { key: this.#parts.changeKey, value, lease: 0 };
     const written = await this.#parts.store.write({ conditions: [], puts: [put], removals: [] });
--- a/packages/gateway/src/silenceWatch.ts
+++ b/packages/gateway/src/silenceWatch.ts
@@ -3,14 +3,13 @@
 import type * as sendChoosers from "./sendChooser.js";
 import type * as servedRequests from "./servedRequest.js";
 
-/** Interval at which a send is looked at for silence, in milliseconds. */
-const SILENCE_CHECK_MS = 100;
+/** Interval at which a send is checked for silence, in milliseconds. */
+const CHECK_INTERVAL_MS = 100;
 
 /**
- * An endpoint that has gone dark, or a connection that has, answers nothing and
- * resets nothing: the caller would wait until its deadline. What may be repeated
- * goes elsewhere once the endpoint has said nothing to anybody here for a while;
- * one that is merely busy is still heard on other connections.
+ * Detects that the endpoint of a send has become silent. A VM or a connection that has failed silently neither answers
+ * nor resets, and the caller would wait until its deadline. A request that may be retried is sent elsewhere once the
+ * endpoint has sent nothing to this daemon for a while; a busy endpoint still sends on its other connections.
  */
 export class SilenceWatch {
   readonly #context: contexts.ServingContext;
@@ -40,20 +39,20 @@
     this.#limits = serving.silenceLimits(served.route, planned.predictedMs);
   }
 
-  /** @param onSilent - called at each look that finds silence, with how long the send itself has been silent, in milliseconds */
+  /** @param onSilent - called at each check that finds silence, with the time since the send's last event in milliseconds */
   start(onSilent: (silentMs: number) => void): void {
-    // After a standstill timers have their turn before sockets: an endpoint that has answered would be taken for silent,
-    // and the request run twice. What is put off to the end of the loop's turn comes after the sockets.
-    this.#timer = setInterval(() => setImmediate(() => this.#look(onSilent)), SILENCE_CHECK_MS);
+    // After a pause of the process, timers run before socket events: an endpoint that has answered would count as silent
+    // and the request would run twice. A step deferred to the end of the event loop's turn runs after the socket events.
+    this.#timer = setInterval(() => setImmediate(() => this.#check(onSilent)), CHECK_INTERVAL_MS);
   }
 
-  /** Looks no more. */
+  /** Stops the checks. */
   stop(): void {
     this.#stopped = true;
     clearInterval(this.#timer);
   }
 
-  #look(onSilent: (silentMs: number) => void): void {
+  #check(onSilent: (silentMs: number) => void): void {
     if (this.#stopped) return;
     const now = performance.now();
     const ownAt = Math.max(this.#sentAt, this.#served.progress.lastEventAt);
@@ -62,7 +61,7 @@
     if (silent) onSilent(now - ownAt);
   }
 
-  /** What a later life says to others is no sign of the one that this request was sent to. */
+  /** Ignores what a later incarnation of the endpoint sends: it says nothing about the one that got this request. */
   #endpointHeardAt(): number {
     const { client, view } = this.#context;
     const { endpoint } = this.#planned;
