--- a/packages/gateway/src/suspects/suspectCodec.ts
+++ b/packages/gateway/src/suspects/suspectCodec.ts
@@ -1,4 +1,4 @@
-/** How suspects are spelt in messages between daemons and in the key-value service. */
+/** Encodes and decodes suspects in messages between daemons and in the key-value service. */
 import * as protobuf from "@bufbuild/protobuf";
 import * as messages from "@camphorcourse/protocol/gateway";
 import type * as serving from "@camphorcourse/serving";
@@ -7,22 +7,22 @@
 import * as peerWorks from "../peerWork.js";
 
 /** Hexadecimal digits of a fingerprint. */
-const DIGITS = 16;
+const FINGERPRINT_DIGITS = 16;
 
-/** Messages have no missing number: ages since a run that ended well are told one millisecond older. */
-const KNOWN_MS = 1;
+/** Added to the age of a successful run in messages, whose numbers can't be absent: 0 means that there was none. */
+const AGE_OFFSET_MS = 1;
 
-const wholeSchema = zod.number().check(zod.refine((value) => Number.isSafeInteger(value) && value >= 0));
+const nonNegativeIntegerSchema = zod.number().check(zod.refine((value) => Number.isSafeInteger(value) && value >= 0));
 
 const storedSchema = zod.object({
   fingerprint: zod.string().check(zod.regex(/^[0-9a-f]{16}$/)),
-  ends: zod.array(zod.object({ life: wholeSchema, at: wholeSchema })),
-  clearedAt: zod.optional(wholeSchema),
+  ends: zod.array(zod.object({ life: nonNegativeIntegerSchema, at: nonNegativeIntegerSchema })),
+  clearedAt: zod.optional(nonNegativeIntegerSchema),
 });
 
 /**
- * @param record - what is known of a suspect
- * @returns the same as a message
+ * @param record - record of a suspect
+ * @returns the record as a message
  */
 export function toMessage(record: serving.SuspectRecord): messages.Suspect {
   const { fingerprint, ends, clearedAgoMs } = record;
@@ -30,47 +30,47 @@
     fingerprint: BigInt(`0x${fingerprint}`),
     lives: ends.map(({ life }) => life),
     endedAgoMs: ends.map(({ agoMs }) => peerWorks.wholeNumber(agoMs)),
-    clearedAgoMs: clearedAgoMs === undefined ? 0 : peerWorks.wholeNumber(clearedAgoMs + KNOWN_MS),
+    clearedAgoMs: clearedAgoMs === undefined ? 0 : peerWorks.wholeNumber(clearedAgoMs + AGE_OFFSET_MS),
   });
 }
 
 /**
- * @param message - what a peer says
- * @returns what it knows of a suspect
+ * @param message - a message from a peer; a crash without an age is left out
+ * @returns the record that it contains
  */
 export function fromMessage(message: messages.Suspect): serving.SuspectRecord {
   const { fingerprint, lives, endedAgoMs, clearedAgoMs } = message;
   return {
-    fingerprint: fingerprint.toString(16).padStart(DIGITS, "0"),
+    fingerprint: fingerprint.toString(16).padStart(FINGERPRINT_DIGITS, "0"),
     ends: lives.flatMap((life, index) => {
       const agoMs = endedAgoMs[index];
       return agoMs === undefined ? [] : [{ life, agoMs }];
     }),
-    clearedAgoMs: clearedAgoMs === 0 ? undefined : clearedAgoMs - KNOWN_MS,
+    clearedAgoMs: clearedAgoMs === 0 ? undefined : clearedAgoMs - AGE_OFFSET_MS,
   };
 }
 
 /**
- * @param record - what is known of a suspect
+ * @param record - record of a suspect
  * @param timeOfDay - current Unix milliseconds
- * @returns the same as it is kept in the key-value service
+ * @returns the record as it is stored in the key-value service, with Unix milliseconds in place of ages
  */
 export function toStored(record: serving.SuspectRecord, timeOfDay: number): Buffer {
   const { fingerprint, ends, clearedAgoMs } = record;
-  const instantOf = (agoMs: number): number => Math.max(0, Math.round(timeOfDay - agoMs));
+  const unixMsOf = (agoMs: number): number => Math.max(0, Math.round(timeOfDay - agoMs));
   return Buffer.from(
     JSON.stringify({
       fingerprint,
-      ends: ends.map(({ life, agoMs }) => ({ life, at: instantOf(agoMs) })),
-      clearedAt: clearedAgoMs === undefined ? undefined : instantOf(clearedAgoMs),
+      ends: ends.map(({ life, agoMs }) => ({ life, at: unixMsOf(agoMs) })),
+      clearedAt: clearedAgoMs === undefined ? undefined : unixMsOf(clearedAgoMs),
     }),
   );
 }
 
 /**
- * @param value - what is kept in the key-value service; another writer may have left anything
+ * @param value - value from the key-value service; as others write there too, it may hold anything
  * @param timeOfDay - current Unix milliseconds
- * @returns what it says of a suspect, or why that can't be read
+ * @returns the record that it contains, or why it can't be decoded
  */
 export function fromStored(value: Uint8Array, timeOfDay: number): neverthrow.Result<serving.SuspectRecord, string> {
   try {
--- a/packages/gateway/src/suspects/suspectStore.ts
+++ b/packages/gateway/src/suspects/suspectStore.ts
@@ -3,24 +3,24 @@
 import type * as ports from "../ports.js";
 import * as suspectCodec from "./suspectCodec.js";
 
-/** Time to live of what is kept, in milliseconds, the longest that the platform grants: without it keys would pile up. */
+/** Time to live of a stored suspect, in milliseconds, the longest that the platform grants: without it keys would accumulate. */
 const KEPT_MS = 600_000;
 
-/** Pause after a failed write, and how often it is tried: through an outage of some minutes. */
+/** Pause after a failed write in milliseconds, and number of attempts: enough for an outage of some minutes. */
 const RETRY_PAUSE_MS = 2_000;
-const MOST_TRIES = 150;
+const MAX_ATTEMPTS = 150;
 
-/** What keeping suspects needs. */
+/** What storing suspects needs. */
 export interface SuspectStoreParts {
   readonly store: ports.DurableStore;
   /** Prefix of the keys; a fingerprint follows. */
   readonly prefix: string;
   readonly log: decisionLogs.DecisionLog;
-  /** @returns what is known of a suspect now */
+  /** @returns the current record of a suspect */
   readonly recordOf: (fingerprint: string) => serving.SuspectRecord | undefined;
 }
 
-/** Keeps rejected requests in the key-value service, for daemons that start when no peer is left to tell them. */
+/** Stores rejected requests in the key-value service, for daemons that start when no peer is left to report them. */
 export class SuspectStore {
   readonly #parts: SuspectStoreParts;
   readonly #writing = new Set<string>();
@@ -38,14 +38,14 @@
     void this.#write(fingerprint).finally(() => this.#writing.delete(fingerprint));
   }
 
-  /** Ends trying. */
+  /** Stops retrying failed writes. */
   stop(): void {
     this.#stopped = true;
   }
 
   async #write(fingerprint: string): Promise<void> {
     const { store, prefix, log, recordOf } = this.#parts;
-    for (let tries = 1; tries <= MOST_TRIES && !this.#stopped; tries++) {
+    for (let attempts = 1; attempts <= MAX_ATTEMPTS && !this.#stopped; attempts++) {
       const lease = await store.grantLease(KEPT_MS);
       const record = recordOf(fingerprint);
       if (record === undefined) return;
@@ -54,12 +54,17 @@
         const put = { key: `${prefix}${fingerprint}`, value, lease: lease.value.id };
         const written = await store.write({ conditions: [], puts: [put], removals: [] });
         if (written.isOk()) {
-          log.info("suspect-kept", { fingerprint, ends: record.ends.length, revision: written.value, tries });
+          log.info("suspect-kept", {
+            fingerprint,
+            ends: record.ends.length,
+            revision: written.value,
+            tries: attempts,
+          });
           return;
         }
       }
       await new Promise((resolve) => setTimeout(resolve, RETRY_PAUSE_MS).unref());
     }
-    log.warn("suspect-not-kept", { fingerprint, tries: MOST_TRIES });
+    log.warn("suspect-not-kept", { fingerprint, tries: MAX_ATTEMPTS });
   }
 }
--- a/packages/gateway/tests/suspectCodec.test.ts
+++ b/packages/gateway/tests/suspectCodec.test.ts
@@ -5,27 +5,30 @@
 import * as assert from "uvu/assert";
 import * as suspectCodec from "../src/suspects/suspectCodec.js";
 
-const MOST_32 = 0xffff_ffff;
+const MAX_UINT32 = 0xffff_ffff;
 const age = fastCheck.integer({ min: 0, max: 100_000_000 });
 
 const PLAIN = { noNullPrototype: true };
 
-const WORDS = fastCheck.record(
+const RECORDS = fastCheck.record(
   {
     fingerprint: fastCheck.stringMatching(/^[0-9a-f]{16}$/),
-    ends: fastCheck.array(fastCheck.record({ life: fastCheck.integer({ min: 0, max: MOST_32 }), agoMs: age }, PLAIN), {
-      maxLength: 8,
-    }),
+    ends: fastCheck.array(
+      fastCheck.record({ life: fastCheck.integer({ min: 0, max: MAX_UINT32 }), agoMs: age }, PLAIN),
+      {
+        maxLength: 8,
+      },
+    ),
     clearedAgoMs: fastCheck.option(age, { nil: undefined }),
   },
   PLAIN,
 );
 
-const suite = uvu.suite("suspect records");
+const suite = uvu.suite("suspect codec");
 
-suite("survive a message", () => {
+suite("a record survives encoding as a message", () => {
   fastCheck.assert(
-    fastCheck.property(WORDS, (record) => {
+    fastCheck.property(RECORDS, (record) => {
       const bytes = protobuf.toBinary(messages.SuspectSchema, suspectCodec.toMessage(record));
       assert.equal(suspectCodec.fromMessage(protobuf.fromBinary(messages.SuspectSchema, bytes)), record);
     }),
@@ -33,9 +36,9 @@
   );
 });
 
-suite("survive the key-value service, and grow older there", () => {
+suite("a stored record survives, and its ages grow by the time since it was written", () => {
   fastCheck.assert(
-    fastCheck.property(WORDS, age, (record, laterMs) => {
+    fastCheck.property(RECORDS, age, (record, laterMs) => {
       const writtenAt = 1_000_000_000;
       const read = suspectCodec
         .fromStored(suspectCodec.toStored(record, writtenAt), writtenAt + laterMs)
@@ -50,7 +53,7 @@
   );
 });
 
-suite("of another writer are refused", () => {
+suite("a stored value of another format is refused", () => {
   const texts = [
     "",
     "{",
@@ -61,7 +64,7 @@
   for (const text of texts) assert.ok(suspectCodec.fromStored(Buffer.from(text), 0).isErr(), text);
 });
 
-suite("with ages missing count the ends that have one", () => {
+suite("a message with fewer ages than crashes keeps the crashes that have one", () => {
   const message = protobuf.create(messages.SuspectSchema, { fingerprint: 1n, lives: [1, 2], endedAgoMs: [5] });
   assert.equal(suspectCodec.fromMessage(message).ends, [{ life: 1, agoMs: 5 }]);
 });
