--- a/packages/gateway/src/activeSend.ts
+++ b/packages/gateway/src/activeSend.ts
@@ -6,27 +6,27 @@
 import type * as servedRequests from "./servedRequest.js";
 import * as silenceWatches from "./silenceWatch.js";
 
-/** When the bytes of a send left, as log lines tell it. */
-export interface Departure {
+/** How much of a request has been sent, as fields of log lines. */
+export interface DispatchFields {
   /** Time from the decision until the request was handed to its connection in milliseconds, if it was. */
   readonly leftAfterMs: number | undefined;
-  /** Bytes of it that are still here. */
+  /** Bytes of it that are still buffered here. */
   readonly unsentBytes: number;
 }
 
-/** One send to an endpoint, while it is under way. */
+/** One send of a request to an endpoint, while it is in flight. */
 export class ActiveSend implements sendChoosers.PlannedSend {
   readonly endpoint: serving.Endpoint;
   readonly stage: sendChoosers.Stage;
   readonly predictedMs: number;
   readonly plan: serving.EnginePlan | undefined;
-  /** When it was sent, in milliseconds. */
+  /** When it was decided on, in milliseconds. */
   readonly sentAt: number;
   readonly #context: contexts.ServingContext;
   readonly #silence: silenceWatches.SilenceWatch;
-  #read: serving.PendingRead | undefined;
-  #sending: sendings.InFlightRequest | undefined;
-  #begun = false;
+  #pendingPrefill: serving.PendingRead | undefined;
+  #request: sendings.InFlightRequest | undefined;
+  #hasFirstEvent = false;
 
   /**
    * @param context - what serving needs
@@ -45,77 +45,79 @@
     this.plan = planned.plan;
     this.sentAt = performance.now();
     const { plan, endpoint } = planned;
-    this.#read = plan === undefined ? undefined : context.board.beginRead(endpoint.id, plan.workTokens, plan.level);
+    this.#pendingPrefill =
+      plan === undefined ? undefined : context.board.beginRead(endpoint.id, plan.workTokens, plan.level);
     this.#silence = new silenceWatches.SilenceWatch(context, served, planned, this.sentAt);
   }
 
-  /** @returns whether a part of the request may have left for the endpoint */
+  /** @returns whether a part of the request may have been sent to the endpoint */
   get wasDispatched(): boolean {
-    return this.#sending?.wasDispatched === true;
+    return this.#request?.wasDispatched === true;
   }
 
-  /** @returns when its bytes left, for the log */
-  get departure(): Departure {
-    const { dispatchedAt: leftAt, unsentBytes } = this.#sending ?? {};
+  /** @returns how much of the request has been sent, for the log */
+  get dispatchFields(): DispatchFields {
+    const { dispatchedAt, unsentBytes } = this.#request ?? {};
     return {
-      leftAfterMs: leftAt === undefined ? undefined : Math.round(leftAt - this.sentAt),
+      leftAfterMs: dispatchedAt === undefined ? undefined : Math.round(dispatchedAt - this.sentAt),
       unsentBytes: unsentBytes ?? 0,
     };
   }
 
   /**
-   * Sends; the answer may come before this returns.
+   * Sends the request; the receiver may be called before this returns.
    *
    * @param message - what to send
-   * @param receiver - takes the answer
-   * @param onSilent - called while the endpoint is silent, with how long the send has been, in milliseconds
+   * @param receiver - receives the answer
+   * @param onSilent - called while the endpoint is silent, with the time since this send's last event in milliseconds
    */
-  begin(
+  start(
     message: sendings.OutgoingRequest,
     receiver: sendings.AnswerReceiver,
     onSilent: (silentMs: number) => void,
   ): void {
     this.#context.board.beginRun(this.endpoint.id);
     this.#silence.start(onSilent);
-    this.#sending = this.#context.client.send(this.endpoint, message, receiver);
+    this.#request = this.#context.client.send(this.endpoint, message, receiver);
   }
 
   /**
-   * The prompt has been read: the engine has that work no more.
+   * Takes the prefill off the engine's pending work once the prompt has been read.
    *
-   * @returns whether it was still being read
+   * @returns whether the prefill was still pending
    */
   finishPrefill(): boolean {
-    if (this.#read === undefined) return false;
-    this.#context.board.endRead(this.#read);
-    this.#read = undefined;
-    this.#begun = true;
+    if (this.#pendingPrefill === undefined) return false;
+    this.#context.board.endRead(this.#pendingPrefill);
+    this.#pendingPrefill = undefined;
+    this.#hasFirstEvent = true;
     return true;
   }
 
   /** @returns whether this is the first event of the send */
   markFirstEvent(): boolean {
-    const first = !this.#begun;
-    this.#begun = true;
+    const first = !this.#hasFirstEvent;
+    this.#hasFirstEvent = true;
     return first;
   }
 
   /**
-   * A caller that reads slowly holds the endpoint back, instead of filling memory here.
+   * Stops reading from the endpoint until a slow caller has read what was written, so that answers don't pile up in
+   * memory.
    *
-   * @param answer - the caller's answer
+   * @param answer - the answer to the caller
    */
   applyBackpressure(answer: callerAnswers.CallerAnswer): void {
-    this.#sending?.pause();
-    answer.onDrain(() => this.#sending?.resume());
+    this.#request?.pause();
+    answer.onDrain(() => this.#request?.resume());
   }
 
-  /** Closes the connection; the endpoint drops the request. */
+  /** Closes the connection, upon which the endpoint drops the request. */
   cancel(): void {
-    this.#sending?.cancel();
+    this.#request?.cancel();
   }
 
-  /** The send is over: its work is taken off the endpoint. */
+  /** Takes the work of a send that is over off its endpoint. */
   release(): void {
     this.finishPrefill();
     this.#context.board.endRun(this.endpoint.id);
--- a/packages/gateway/src/endpointClient.ts
+++ b/packages/gateway/src/endpointClient.ts
@@ -1,20 +1,20 @@
 import type * as serving from "@camphorcourse/serving";
-import * as endpointLanes from "./endpointLanes.js";
+import * as connectionPools from "./endpointConnectionPool.js";
 import * as endpointSends from "./endpointSend.js";
 import type * as sendings from "./sending.js";
 
-/** Part of an endpoint's connections that all daemons together use, so that checks and restarts find room. */
-const USED_CONNECTIONS_PART = 0.8;
+/** Share of an endpoint's connections that all daemons together use; the rest is left for health checks and restarts. */
+const USED_CONNECTIONS_SHARE = 0.8;
 
-/** Sends requests to endpoints over connections that are kept between requests. */
+/** Sends requests to endpoints over pooled keep-alive connections. */
 export class EndpointClient {
-  readonly #lanes = new Map<string, endpointLanes.EndpointLanes>();
+  readonly #pools = new Map<string, connectionPools.EndpointConnectionPool>();
   readonly #count: (name: string) => void;
   readonly #isLate: () => boolean;
 
   /**
    * @param count - counts an event by its name
-   * @param isLate - whether the event loop is late, so that what it hears may be old
+   * @param isLate - whether the event loop lags, so that the socket events it processes may be old
    */
   constructor(count: (name: string) => void, isLate: () => boolean) {
     this.#count = count;
@@ -23,21 +23,21 @@
 
   /**
    * @param endpointId - the endpoint
-   * @returns instant at which anything last came from it, in milliseconds
+   * @returns instant at which data was last received from it, in milliseconds
    */
   heardAt(endpointId: string): number {
-    return this.#lanes.get(endpointId)?.heardAt ?? 0;
+    return this.#pools.get(endpointId)?.heardAt ?? 0;
   }
 
   /**
    * @param endpointId - the endpoint
-   * @param maxConnections - connections that it takes from all daemons
-   * @param daemons - daemons that are known
+   * @param maxConnections - connections that it accepts from all daemons
+   * @param daemons - number of known daemons
    * @returns whether this daemon may send it one more request now
    */
   hasRoom(endpointId: string, maxConnections: number, daemons: number): boolean {
-    const share = Math.max(2, Math.floor((maxConnections * USED_CONNECTIONS_PART) / Math.max(1, daemons)));
-    return (this.#lanes.get(endpointId)?.busy ?? 0) < share;
+    const limit = Math.max(2, Math.floor((maxConnections * USED_CONNECTIONS_SHARE) / Math.max(1, daemons)));
+    return (this.#pools.get(endpointId)?.busy ?? 0) < limit;
   }
 
   /**
@@ -45,19 +45,21 @@
    * @returns whether an idle connection to it is open
    */
   hasLiveConnection(endpointId: string): boolean {
-    return this.#lanes.get(endpointId)?.hasLiveIdle ?? false;
+    return this.#pools.get(endpointId)?.hasLiveIdle ?? false;
   }
 
-  /** @returns bytes of requests that connections to endpoints have been given and have not taken yet */
+  /** @returns bytes of requests that are buffered for connections to endpoints but not yet sent */
   get unsentBytes(): number {
-    return [...this.#lanes.values()].reduce((sum, lanes) => sum + lanes.unsentBytes, 0);
+    return [...this.#pools.values()].reduce((sum, pool) => sum + pool.unsentBytes, 0);
   }
 
   /**
+   * Sends a request over an idle or a new connection.
+   *
    * @param endpoint - where to send
    * @param request - what to send
-   * @param receiver - takes the answer
-   * @returns the send
+   * @param receiver - receives the answer
+   * @returns the request in flight
    */
   send(
     endpoint: serving.Endpoint,
@@ -65,7 +67,7 @@
     receiver: sendings.AnswerReceiver,
   ): sendings.InFlightRequest {
     const parts = {
-      lanes: this.#lanesOf(endpoint),
+      pool: this.#poolOf(endpoint),
       request,
       receiver,
       isLate: this.#isLate,
@@ -74,32 +76,32 @@
     return new endpointSends.EndpointSend(parts);
   }
 
-  /** @param endpointId - an endpoint that is gone or has started again: its idle connections are closed */
+  /** @param endpointId - an endpoint that is gone or has restarted: its idle connections are closed */
   forget(endpointId: string): void {
-    this.#lanes.get(endpointId)?.close();
-    this.#lanes.delete(endpointId);
+    this.#pools.get(endpointId)?.close();
+    this.#pools.delete(endpointId);
   }
 
   /** Closes all idle connections. */
   close(): void {
-    for (const lanes of this.#lanes.values()) lanes.close();
+    for (const pool of this.#pools.values()) pool.close();
   }
 
   #countBroken(): void {
     this.#count("endpoint_connections_broken");
   }
 
-  #lanesOf(endpoint: serving.Endpoint): endpointLanes.EndpointLanes {
-    let lanes = this.#lanes.get(endpoint.id);
-    // One that has moved is no longer where its connections lead; another endpoint may be there.
-    if (lanes !== undefined && lanes.address !== endpoint.address) {
-      lanes.close();
-      lanes = undefined;
+  #poolOf(endpoint: serving.Endpoint): connectionPools.EndpointConnectionPool {
+    let pool = this.#pools.get(endpoint.id);
+    // The connections lead to the old address of an endpoint that has moved, where another endpoint may listen now.
+    if (pool !== undefined && pool.address !== endpoint.address) {
+      pool.close();
+      pool = undefined;
     }
-    if (lanes === undefined) {
-      lanes = new endpointLanes.EndpointLanes(endpoint.address, this.#isLate);
-      this.#lanes.set(endpoint.id, lanes);
+    if (pool === undefined) {
+      pool = new connectionPools.EndpointConnectionPool(endpoint.address, this.#isLate);
+      this.#pools.set(endpoint.id, pool);
     }
-    return lanes;
+    return pool;
   }
 }
--- /dev/null
+++ b/packages/gateway/src/endpointConnectionPool.ts
@@ -0,0 +1,142 @@
+import type * as net from "node:net";
+import * as undici from "undici";
+import * as socketTurns from "./socketTurn.js";
+
+/** Time for a connection to an endpoint to be established, in milliseconds; a healthy endpoint takes a few. */
+const CONNECT_TIMEOUT_MS = 350;
+
+/** Idle time after which this side closes a connection, in milliseconds, unless the endpoint names a shorter one. */
+const IDLE_TIMEOUT_MS = 4_000;
+
+/** A connection to an endpoint; it carries one request at a time. */
+export interface PooledConnection {
+  readonly client: undici.Client;
+  socket: net.Socket | undefined;
+  usedAt: number;
+  /** Whether the socket reported an error instead of a regular close. */
+  reset: boolean;
+}
+
+const connect = undici.buildConnector({ timeout: CONNECT_TIMEOUT_MS, autoSelectFamily: false, keepAlive: true });
+
+/**
+ * Creates a connection, which is opened by its first request.
+ *
+ * An answer without a length ends where its connection closes, and it is incomplete if the connection was reset. The
+ * HTTP client takes a reset for the regular end of such an answer, so the socket's error is recorded here before the
+ * client handles it.
+ */
+function createConnection(origin: string, isLate: () => boolean): PooledConnection {
+  const connection: PooledConnection = {
+    socket: undefined,
+    usedAt: 0,
+    reset: false,
+    client: new undici.Client(origin, {
+      pipelining: 1,
+      headersTimeout: 0,
+      bodyTimeout: 0,
+      keepAliveTimeout: IDLE_TIMEOUT_MS,
+      connect: (options, callback) => {
+        connection.reset = false;
+        connect(options, (...result) => {
+          const [error, socket] = result;
+          if (error !== null) {
+            callback(error, null);
+            return;
+          }
+          connection.socket = socket;
+          socket.on("error", () => {
+            connection.reset = true;
+          });
+          const reportConnected = (): void => {
+            if (socket.destroyed) callback(new Error("the connection broke while it was being established"), null);
+            else callback(null, socket);
+          };
+          // The client sends the request as soon as it is connected. A lagging event loop may process that before the
+          // caller's disconnect, so the pending socket events are processed first.
+          if (isLate()) new socketTurns.WaitingStep(reportConnected);
+          else reportConnected();
+        });
+      },
+    }),
+  };
+  return connection;
+}
+
+/** Connections to one incarnation of an endpoint. */
+export class EndpointConnectionPool {
+  readonly #origin: string;
+  readonly #idle: PooledConnection[] = [];
+  readonly #busy = new Set<PooledConnection>();
+  /** Instant at which data was last received from the endpoint, in milliseconds. */
+  heardAt = 0;
+
+  readonly #isLate: () => boolean;
+
+  /**
+   * @param address - the endpoint's address, IP:PORT
+   * @param isLate - whether the event loop lags, so that the socket events it processes may be old
+   */
+  constructor(
+    readonly address: string,
+    isLate: () => boolean,
+  ) {
+    this.#isLate = isLate;
+    this.#origin = `http://${address}`;
+  }
+
+  /** @returns number of connections that are open or being opened */
+  get open(): number {
+    return this.#idle.length + this.#busy.size;
+  }
+
+  /** @returns number of connections that carry a request */
+  get busy(): number {
+    return this.#busy.size;
+  }
+
+  /** @returns whether an idle connection is still open */
+  get hasLiveIdle(): boolean {
+    return this.#idle.some(({ socket }) => socket !== undefined && !socket.destroyed && !socket.readableEnded);
+  }
+
+  /** @returns bytes of requests that are buffered but not yet sent */
+  get unsentBytes(): number {
+    return [...this.#busy].reduce((sum, connection) => sum + (connection.socket?.writableLength ?? 0), 0);
+  }
+
+  /** @returns a connection for one request, to be released or discarded */
+  acquire(): PooledConnection {
+    const connection = this.#idle.pop() ?? createConnection(this.#origin, this.#isLate);
+    this.#busy.add(connection);
+    return connection;
+  }
+
+  /**
+   * Makes a connection available for other requests.
+   *
+   * @param connection - a connection whose request is over, with no unread data
+   * @param now - current instant in milliseconds
+   */
+  release(connection: PooledConnection, now: number): void {
+    this.#busy.delete(connection);
+    connection.usedAt = now;
+    this.#idle.push(connection);
+  }
+
+  /**
+   * Closes a connection after an error or a cancelled request: it may still carry bytes of that request's answer, so it
+   * must not be reused.
+   *
+   * @param connection - the connection
+   */
+  discard(connection: PooledConnection): void {
+    this.#busy.delete(connection);
+    connection.client.destroy().catch(() => undefined);
+  }
+
+  /** Closes the idle connections. */
+  close(): void {
+    for (const connection of this.#idle.splice(0)) connection.client.destroy().catch(() => undefined);
+  }
+}
--- a/packages/gateway/src/endpointCrashDetector.ts
+++ b/packages/gateway/src/endpointCrashDetector.ts
@@ -3,41 +3,41 @@
 import * as socketAddresses from "./address.js";
 import type * as decisionLogs from "./decisionLog.js";
 
-/** Time between a broken connection and the look whether its endpoint is still there, in milliseconds: others break with it. */
-const SETTLE_MS = 10;
+/** Delay between a broken connection and the check of its endpoint, in milliseconds: other connections break with it. */
+const CHECK_DELAY_MS = 10;
 
-/** Time for a connection to be established, in milliseconds; a sound endpoint takes a few. */
+/** Time for a connection to be established, in milliseconds; a healthy endpoint takes a few. */
 const CONNECT_TIMEOUT_MS = 350;
 
-/** Runs of one endpoint that are kept until it is known whether it has ended. */
-const MOST_RUNS = 256;
+/** Maximum number of broken runs of one endpoint that are kept until its check has finished. */
+const MAX_RUNS = 256;
 
-/** Fingerprints that one log line names. */
-const MOST_LOGGED = 8;
+/** Maximum number of fingerprints in a log line. */
+const MAX_LOGGED = 8;
 
-/** Time for which an endpoint counts as ended in milliseconds: its entry lapses in it, or it has started again. */
-const ENDED_MS = 5_000;
+/** Time for which an endpoint counts as crashed in milliseconds: its entry expires within it, or it restarts. */
+const CRASHED_MS = 5_000;
 
-/** Endpoints that are remembered as ended. */
-const MOST_ENDED = 1_024;
+/** Maximum number of endpoints that are remembered as crashed. */
+const MAX_CRASHED = 1_024;
 
 const REFUSED = "ECONNREFUSED";
 
-/** A run whose connection broke. */
+/** A run of a request whose connection broke. */
 export interface BrokenRun {
   readonly fingerprints: serving.Fingerprints;
   /** Instant at which it broke, in milliseconds. */
   readonly brokeAt: number;
 }
 
-/** What looking at endpoints needs. */
-export interface EndpointEndDetectorParts {
+/** What detecting crashed endpoints needs. */
+export interface EndpointCrashDetectorParts {
   readonly log: decisionLogs.DecisionLog;
   /** @returns whether an idle connection to the endpoint is open */
   readonly hasLiveConnection: (endpointId: string) => boolean;
-  /** @returns whether the endpoint is expected to end, as it is leaving or gone */
+  /** @returns whether the endpoint is expected to end, because it is leaving or gone */
   readonly isLeaving: (endpoint: serving.Endpoint) => boolean;
-  /** Takes an endpoint that has ended, and what was running there for this daemon's callers. */
+  /** Called with an endpoint that has crashed and what was running there for this daemon's callers. */
   readonly onCrashed: (endpoint: serving.Endpoint, runs: readonly BrokenRun[]) => void;
 }
 
@@ -47,56 +47,58 @@
 }
 
 /**
- * Tells an endpoint that has ended from one that lost an answer. Both look the same on the connection that broke; one that
- * has ended refuses further ones. A silent VM is neither, and proves nothing.
+ * Distinguishes an endpoint that has crashed from one that lost an answer. Both break the connection in the same way,
+ * but a crashed endpoint refuses new connections. An attempt to connect that times out proves neither.
  */
 export class EndpointCrashDetector {
-  readonly #parts: EndpointEndDetectorParts;
+  readonly #parts: EndpointCrashDetectorParts;
   readonly #checks = new Map<string, Check>();
-  /** Endpoints that have ended, with their lives' starts and when that was seen. */
-  readonly #ended = new Map<string, { readonly bornAt: number | undefined; readonly until: number }>();
+  /** Start of each incarnation that has crashed, by endpoint id, and the instant until which it counts as crashed. */
+  readonly #crashed = new Map<string, { readonly bornAt: number | undefined; readonly until: number }>();
 
   /** @param parts - what it needs */
-  constructor(parts: EndpointEndDetectorParts) {
+  constructor(parts: EndpointCrashDetectorParts) {
     this.#parts = parts;
   }
 
   /**
+   * Schedules a check of an endpoint, one for all its connections that break within the delay.
+   *
    * @param endpoint - an endpoint to which a connection has broken
    * @param run - what was running on it
    */
   noteBroken(endpoint: serving.Endpoint, run: BrokenRun): void {
     const check = this.#checks.get(endpoint.id);
     if (check !== undefined) {
-      if (check.runs.length < MOST_RUNS) check.runs.push(run);
+      if (check.runs.length < MAX_RUNS) check.runs.push(run);
       return;
     }
     this.#checks.set(endpoint.id, { endpoint, runs: [run] });
-    setTimeout(() => void this.#check(endpoint), SETTLE_MS);
+    setTimeout(() => void this.#check(endpoint), CHECK_DELAY_MS);
   }
 
   /**
    * @param endpoint - an endpoint that is listed
    * @param now - current instant in milliseconds
-   * @returns whether this life of it was seen to have ended a short time ago, before its entry lapses
+   * @returns whether this incarnation of it was recently found crashed, which may be before its entry expires
    */
-  hasEnded(endpoint: serving.Endpoint, now: number): boolean {
-    const seen = this.#ended.get(endpoint.id);
-    if (seen === undefined) return false;
-    if (seen.until > now && seen.bornAt === endpoint.bornAt) return true;
-    this.#ended.delete(endpoint.id);
+  hasCrashed(endpoint: serving.Endpoint, now: number): boolean {
+    const crash = this.#crashed.get(endpoint.id);
+    if (crash === undefined) return false;
+    if (crash.until > now && crash.bornAt === endpoint.bornAt) return true;
+    this.#crashed.delete(endpoint.id);
     return false;
   }
 
   async #check(endpoint: serving.Endpoint): Promise<void> {
     const isAlive = this.#parts.hasLiveConnection(endpoint.id);
-    const hasEnded = !isAlive && !this.#parts.isLeaving(endpoint) && (await refusesConnections(endpoint.address));
+    const hasCrashed = !isAlive && !this.#parts.isLeaving(endpoint) && (await refusesConnections(endpoint.address));
     const runs = this.#checks.get(endpoint.id)?.runs ?? [];
     this.#checks.delete(endpoint.id);
-    if (!hasEnded) return;
-    if (this.#ended.size >= MOST_ENDED) this.#ended.clear();
-    this.#ended.set(endpoint.id, { bornAt: endpoint.bornAt, until: performance.now() + ENDED_MS });
-    const fingerprints = runs.slice(0, MOST_LOGGED).map((run) => run.fingerprints.content);
+    if (!hasCrashed) return;
+    if (this.#crashed.size >= MAX_CRASHED) this.#crashed.clear();
+    this.#crashed.set(endpoint.id, { bornAt: endpoint.bornAt, until: performance.now() + CRASHED_MS });
+    const fingerprints = runs.slice(0, MAX_LOGGED).map((run) => run.fingerprints.content);
     this.#parts.log.warn("endpoint-ended", {
       endpoint: endpoint.id,
       service: endpoint.service,
@@ -108,7 +110,7 @@
   }
 }
 
-/** Whether nothing listens at an address any more. A connection that is reset later may have met a limit. */
+/** Whether nothing listens at an address. A connection that is accepted and then reset may have exceeded a limit. */
 function refusesConnections(address: string): Promise<boolean> {
   return new Promise((resolve) => {
     const socket = net.connect({ ...socketAddresses.hostAndPort(address) });
--- a/packages/gateway/src/endpointFeedback.ts
+++ b/packages/gateway/src/endpointFeedback.ts
@@ -3,7 +3,7 @@
 import type * as contexts from "./context.js";
 import type * as servedRequests from "./servedRequest.js";
 
-/** What the sends of a request teach of the endpoints. */
+/** Updates the health and speed estimates of endpoints from the results of one request's sends. */
 export class EndpointFeedback {
   readonly #context: contexts.ServingContext;
   readonly #served: servedRequests.ServedRequest;
@@ -18,26 +18,31 @@
   }
 
   /**
-   * What a former life did doesn't count against the present one, also if it shows only now.
+   * Records the result of a send in its endpoint's health, and logs a change of the health. The result of an earlier
+   * incarnation of the endpoint doesn't count against the present one, however late it becomes known.
    *
    * @param active - a send
-   * @param result - what it says of its endpoint; a change of what is thought of it is logged
+   * @param result - its result
    */
   recordResult(active: activeSends.ActiveSend, result: serving.SendResult): void {
-    if (!this.#isOfThisLife(active)) return;
+    if (!this.#isCurrentIncarnation(active)) return;
     const changed = this.#context.health.record(active.endpoint.id, result, performance.now());
     if (!changed) return;
-    const bad = this.#context.health.isBad(active.endpoint.id);
-    this.#context.log.warn(bad ? "endpoint-bad" : "endpoint-good", { endpoint: active.endpoint.id, result });
+    const isUnhealthy = this.#context.health.isBad(active.endpoint.id);
+    this.#context.log.warn(isUnhealthy ? "endpoint-bad" : "endpoint-good", { endpoint: active.endpoint.id, result });
   }
 
-  /** @param active - a send whose prompt has been read: the time that it took corrects later predictions */
+  /**
+   * Learns from the time that a prefill took, which corrects later predictions.
+   *
+   * @param active - a send whose prompt has just been prefilled
+   */
   learnPrefillTime(active: activeSends.ActiveSend): void {
-    if (!this.#isOfThisLife(active)) return;
+    if (!this.#isCurrentIncarnation(active)) return;
     const now = performance.now();
     const tookMs = now - active.sentAt;
-    this.#noteRead(active);
-    this.#learnReading(active, tookMs, now);
+    this.#noteCachedPrompt(active);
+    this.#learnPrefillSpeed(active, tookMs, now);
     this.#context.health.recordTime(active.endpoint.id, active.predictedMs, tookMs);
     this.#context.log.info("prompt-read", {
       id: this.#served.id,
@@ -50,7 +55,7 @@
       urgency: active.plan?.level,
       running: this.#context.board.running(active.endpoint.id, now),
       predictedMs: Math.round(active.predictedMs),
-      leftAfterMs: active.departure.leftAfterMs,
+      leftAfterMs: active.dispatchFields.leftAfterMs,
       tookMs: Math.round(tookMs),
       slowness: this.#context.health.slowness(active.endpoint.id).toFixed(2),
       tokensPerMs: this.#speeds().figures(active.endpoint.role).tokensPerMs.toFixed(1),
@@ -58,10 +63,14 @@
     });
   }
 
-  /** @param active - a send that goes on from a prompt which another engine has read, at its first event */
+  /**
+   * Learns from the time that handing a prefilled prompt over to another engine took.
+   *
+   * @param active - a send to the engine that decodes, at its first event
+   */
   learnHandover(active: activeSends.ActiveSend): void {
     const { prompt } = this.#served.caller.headers;
-    if (prompt === undefined || !this.#isOfThisLife(active)) return;
+    if (prompt === undefined || !this.#isCurrentIncarnation(active)) return;
     const tookMs = performance.now() - active.sentAt;
     const speeds = this.#speeds();
     this.#context.log.info("handed-over", {
@@ -69,35 +78,39 @@
       endpoint: active.endpoint.id,
       prompt: prompt.promptTokens,
       expectedMs: Math.round(speeds.handoverMs(prompt.promptTokens)),
-      leftAfterMs: active.departure.leftAfterMs,
+      leftAfterMs: active.dispatchFields.leftAfterMs,
       tookMs: Math.round(tookMs),
     });
     speeds.learnHandover(prompt.promptTokens, tookMs);
   }
 
-  /** @param active - a send whose whole stream has come from its endpoint */
+  /**
+   * Learns from the number of a stream's events and the pauses between them.
+   *
+   * @param active - a send whose stream is complete
+   */
   learnPause(active: activeSends.ActiveSend): void {
     const { events, meanPauseMs } = this.#served.progress;
     const { prompt } = this.#served.caller.headers;
     if (prompt !== undefined) this.#context.demand.learnEvents(prompt.outputTokens, events);
-    if (meanPauseMs === undefined || this.#served.sends > 1 || !this.#isOfThisLife(active)) return;
+    if (meanPauseMs === undefined || this.#served.sends > 1 || !this.#isCurrentIncarnation(active)) return;
     const streams = this.#context.board.running(active.endpoint.id, performance.now());
     this.#speeds().learnPause(streams, meanPauseMs);
   }
 
-  /** The engine keeps the prompt's parts now, and others can copy them from there. */
-  #noteRead(active: activeSends.ActiveSend): void {
+  /** Records that the engine now caches the prompt's parts, so that other engines can copy them. */
+  #noteCachedPrompt(active: activeSends.ActiveSend): void {
     const { prompt } = this.#served.caller.headers;
     const memoryTokens = this.#context.view.table?.service(this.#served.service)?.engine?.memoryTokens;
     if (prompt === undefined || memoryTokens === undefined) return;
     this.#context.board.noteRead(active.endpoint.id, memoryTokens, prompt, true);
   }
 
-  #learnReading(active: activeSends.ActiveSend, tookMs: number, now: number): void {
+  #learnPrefillSpeed(active: activeSends.ActiveSend, tookMs: number, now: number): void {
     const { plan, endpoint } = active;
     const { prompt } = this.#served.caller.headers;
     if (plan === undefined || prompt === undefined) return;
-    // How much a copy brought isn't known: the engine may have had to read all of it.
+    // It isn't known how much of the prompt was copied: the engine may have had to prefill all of it.
     if (plan.copySource !== undefined) return;
     this.#speeds().observeReading(endpoint.role, {
       unreadTokens: plan.unreadTokens,
@@ -112,7 +125,7 @@
     return this.#context.speeds.of(this.#served.service);
   }
 
-  #isOfThisLife(active: activeSends.ActiveSend): boolean {
+  #isCurrentIncarnation(active: activeSends.ActiveSend): boolean {
     return this.#context.view.directory.isSameLife(active.endpoint);
   }
 }
--- a/packages/gateway/src/endpointSend.ts
+++ b/packages/gateway/src/endpointSend.ts
@@ -1,84 +1,84 @@
 import * as serving from "@camphorcourse/serving";
 import type * as undici from "undici";
 import type * as sendings from "./sending.js";
-import type * as endpointLanes from "./endpointLanes.js";
+import type * as connectionPools from "./endpointConnectionPool.js";
 import * as socketTurns from "./socketTurn.js";
 
-/** What one send works with. */
+/** What one send needs. */
 export interface SendParts {
-  readonly lanes: endpointLanes.EndpointLanes;
+  readonly pool: connectionPools.EndpointConnectionPool;
   readonly request: sendings.OutgoingRequest;
   readonly receiver: sendings.AnswerReceiver;
-  /** Whether the event loop is late, so that what it hears may be old. */
+  /** Whether the event loop lags, so that the socket events it processes may be old. */
   readonly isLate: () => boolean;
   /** Called when its connection breaks. */
   readonly onBroken: () => void;
 }
 
-/** Final status codes; lower ones only announce them. */
-const FINAL_FROM = 200;
+/** Lowest final status code; lower ones are informational and precede it. */
+const MIN_FINAL_STATUS = 200;
 
-/** One request on its way to an endpoint, and its answer on the way back. */
+/** One request to an endpoint over a pooled connection, and its answer. */
 export class EndpointSend implements sendings.InFlightRequest {
   readonly #parts: SendParts;
-  readonly #lane: endpointLanes.Lane;
-  #waiting: socketTurns.WaitingStep | undefined;
+  readonly #connection: connectionPools.PooledConnection;
+  #deferredDispatch: socketTurns.WaitingStep | undefined;
   #controller: undici.Dispatcher.DispatchController | undefined;
-  #leftAt: number | undefined;
+  #dispatchedAt: number | undefined;
   #over = false;
 
   /**
-   * Takes a connection and sends.
+   * Acquires a connection and sends the request.
    *
-   * What a late event loop sends for a caller waits for the sockets' turn: it hears of an endpoint's answer, or of the
-   * request itself, before it hears that the caller has left, and the endpoint would work for nobody. Whoever learns
-   * that the caller has left cancels this send, and nothing of it leaves. A loop that is on time sends at once: each
-   * turn that a request waits for makes its answer later.
+   * While the event loop lags, a caller's request is sent only after the pending socket events have been processed.
+   * The loop handles events in the order in which they arrived, so it may handle an endpoint's answer, or the request
+   * itself, before the disconnect of the caller, and the endpoint would work for nobody. A caller's disconnect cancels
+   * this send before anything of it is sent. A loop without lag sends at once, as each deferred turn delays the answer.
    *
-   * @param parts - what it works with
+   * @param parts - what the send needs
    */
   constructor(parts: SendParts) {
     this.#parts = parts;
-    this.#lane = parts.lanes.take();
+    this.#connection = parts.pool.acquire();
     const isForCaller = parts.request.sendBefore !== undefined;
     if (!isForCaller || !parts.isLate()) this.#dispatch();
-    else this.#waiting = new socketTurns.WaitingStep(() => this.#dispatch());
+    else this.#deferredDispatch = new socketTurns.WaitingStep(() => this.#dispatch());
   }
 
-  /** {@inheritDoc sendings.Sending.hasLeft} */
+  /** {@inheritDoc sendings.InFlightRequest.wasDispatched} */
   get wasDispatched(): boolean {
-    return this.#leftAt !== undefined;
+    return this.#dispatchedAt !== undefined;
   }
 
-  /** {@inheritDoc sendings.Sending.leftAt} */
+  /** {@inheritDoc sendings.InFlightRequest.dispatchedAt} */
   get dispatchedAt(): number | undefined {
-    return this.#leftAt;
+    return this.#dispatchedAt;
   }
 
-  /** {@inheritDoc sendings.Sending.unsentBytes} */
+  /** {@inheritDoc sendings.InFlightRequest.unsentBytes} */
   get unsentBytes(): number {
-    return this.#lane.socket?.writableLength ?? 0;
+    return this.#connection.socket?.writableLength ?? 0;
   }
 
-  /** {@inheritDoc sendings.Sending.cancel} */
+  /** {@inheritDoc sendings.InFlightRequest.cancel} */
   cancel(): void {
     if (this.#over) return;
-    if (this.#waiting?.drop() === true) {
+    if (this.#deferredDispatch?.drop() === true) {
       this.#over = true;
-      this.#parts.lanes.giveBack(this.#lane, performance.now());
+      this.#parts.pool.release(this.#connection, performance.now());
       return;
     }
-    // First: the abort reports an error at once, which is no result of the endpoint's.
+    // Discarded before the abort, which reports an error synchronously; that error says nothing about the endpoint.
     this.#discard();
     this.#controller?.abort(new Error("cancelled"));
   }
 
-  /** {@inheritDoc sendings.Sending.pause} */
+  /** {@inheritDoc sendings.InFlightRequest.pause} */
   pause(): void {
     this.#controller?.pause();
   }
 
-  /** {@inheritDoc sendings.Sending.resume} */
+  /** {@inheritDoc sendings.InFlightRequest.resume} */
   resume(): void {
     this.#controller?.resume();
   }
@@ -86,7 +86,7 @@
   #dispatch(): void {
     const { method, path, headers, body } = this.#parts.request;
     const options = { method: method as undici.Dispatcher.HttpMethod, path, headers, body: body ?? null };
-    this.#lane.client.dispatch(options, {
+    this.#connection.client.dispatch(options, {
       onRequestStart: (controller) => this.#onStart(controller),
       onResponseStart: (_controller, status, answerHeaders) => this.#onHead(status, answerHeaders),
       onResponseData: (_controller, chunk) => this.#onData(chunk),
@@ -98,16 +98,17 @@
   #onStart(controller: undici.Dispatcher.DispatchController): void {
     this.#controller = controller;
     const now = performance.now();
-    // After a standstill a connection may be there only once the time is up: what is sent then runs for nobody.
-    if (now < (this.#parts.request.sendBefore ?? Infinity)) this.#leftAt = now;
-    else controller.abort(new Error("the connection came too late"));
+    // After a pause of the process, the connection may become ready only after the deadline: the endpoint would run the
+    // request for a caller that no longer waits.
+    if (now < (this.#parts.request.sendBefore ?? Infinity)) this.#dispatchedAt = now;
+    else controller.abort(new Error("the connection was established after the request's deadline"));
   }
 
   #onHead(status: number, headers: sendings.AnswerHeaders): void {
-    if (this.#over || status < FINAL_FROM) return;
+    if (this.#over || status < MIN_FINAL_STATUS) return;
     this.#noteHeard();
     if (!this.#parts.receiver.onHead(status, headers)) {
-      this.#break(serving.SendFate.Unknown, "the answer is not this request's");
+      this.#break(serving.SendFate.Unknown, "the answer belongs to another request");
     }
   }
 
@@ -118,11 +119,12 @@
   }
 
   #onEnd(): void {
-    if (this.#lane.reset) this.#break(serving.SendFate.Unknown, "the connection was reset inside the answer");
+    if (this.#connection.reset)
+      this.#break(serving.SendFate.Unknown, "the connection was reset before the answer was complete");
     if (this.#over) return;
     this.#over = true;
     this.#noteHeard();
-    this.#parts.lanes.giveBack(this.#lane, this.#parts.lanes.heardAt);
+    this.#parts.pool.release(this.#connection, this.#parts.pool.heardAt);
     this.#parts.receiver.onEnd();
   }
 
@@ -132,13 +134,13 @@
   }
 
   #noteHeard(): void {
-    this.#parts.lanes.heardAt = performance.now();
+    this.#parts.pool.heardAt = performance.now();
   }
 
   #discard(): void {
     if (this.#over) return;
     this.#over = true;
-    this.#parts.lanes.discard(this.#lane);
+    this.#parts.pool.discard(this.#connection);
   }
 
   #break(fate: serving.SendFate, detail: string): void {
--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -1,20 +1,20 @@
-/** What the gateway needs of its surroundings; an adapter gives it for one platform. */
+/** Interfaces through which the gateway uses its platform; each platform has an adapter that implements them. */
 import * as serving from "@camphorcourse/serving";
 import * as neverthrow from "neverthrow";
 
-/** Why a call to the key-value service gave no result. */
+/** Why a call to the key-value service failed. */
 export enum StoreFailure {
-  /** No answer, or a broken one: a write may have been done. */
+  /** No answer, or an incomplete one: a write may have taken effect. */
   Unanswered = "unanswered",
-  /** The service said that nothing was done. */
+  /** The service reported that nothing was done. */
   Refused = "refused",
-  /** The history that a watch asked for is no longer kept. */
+  /** The revision from which a watch was to start has been compacted. */
   HistoryLost = "history-lost",
   /** A condition of a write did not hold. */
   Conflict = "conflict",
-  /** The lease has ended. */
+  /** The lease has expired or was revoked. */
   LeaseEnded = "lease-ended",
-  /** What was asked for does not exist. */
+  /** The requested item or lease does not exist. */
   Missing = "missing",
 }
 
@@ -34,28 +34,28 @@
   readonly createdRevision: number;
 }
 
-/** A change that a watch tells of; without an item the key was removed. */
+/** A change reported by a watch; without an item, the key was removed. */
 export interface StoreEvent {
   readonly key: string;
   readonly revision: number;
   readonly item: StoredItem | undefined;
 }
 
-/** Items under a prefix, or changes since a revision. */
+/** All items under a prefix, at one revision. */
 export interface StoreListing {
   readonly items: readonly StoredItem[];
   readonly revision: number;
 }
 
-/** Changes since a revision; continue from {@link StoreChanges.revision}. */
+/** Changes since a revision; the next watch continues from {@link StoreChanges.revision}. */
 export interface StoreChanges {
   readonly events: readonly StoreEvent[];
   readonly revision: number;
 }
 
-/** A write that happens only if all conditions hold. */
+/** A write that is applied only if all its conditions hold. */
 export interface ConditionalWrite {
-  /** Key and its expected revision, 0 where it must not exist. */
+  /** Each key and its expected revision; 0 if the key must not exist. */
   readonly conditions: readonly { readonly key: string; readonly revision: number }[];
   readonly puts: readonly { readonly key: string; readonly value: Uint8Array; readonly lease: number }[];
   readonly removals: readonly string[];
@@ -72,8 +72,10 @@
   /** @param prefix - prefix of the keys; @returns the items under it, read page by page */
   list(prefix: string): Promise<neverthrow.Result<StoreListing, StoreProblem>>;
   /**
+   * Waits for changes under a prefix.
+   *
    * @param prefix - prefix of the keys
-   * @param afterRevision - revision after which changes count
+   * @param afterRevision - only changes after this revision are returned
    * @param waitMs - longest wait for the first change, in milliseconds
    */
   watch(prefix: string, afterRevision: number, waitMs: number): Promise<neverthrow.Result<StoreChanges, StoreProblem>>;
@@ -83,57 +85,57 @@
   grantLease(ttlMs: number): Promise<neverthrow.Result<GrantedLease, StoreProblem>>;
   /** @param lease - the lease to renew */
   renewLease(lease: number): Promise<neverthrow.Result<void, StoreProblem>>;
-  /** @param lease - the lease to end, with its keys */
+  /** @param lease - the lease to revoke, which removes its keys */
   endLease(lease: number): Promise<neverthrow.Result<void, StoreProblem>>;
 }
 
-/** Where things lie in the key-value service, and how they read. */
+/** Keys of the gateway's data in the key-value service, and decoders of their values. */
 export interface StoreLayout {
-  /** Prefix that covers everything the gateway follows. */
+  /** Prefix of all keys that the gateway watches. */
   readonly watchedPrefix: string;
   readonly configurationKey: string;
   readonly endpointPrefix: string;
   readonly daemonPrefix: string;
-  /** Key of the right to give orders. */
+  /** Key whose holder may send role orders to engines. */
   readonly authorityKey: string;
   /** Key of the last change of an engine's role. */
   readonly roleChangeKey: string;
-  /** Prefix of the requests that are rejected because endpoints ended under them. */
+  /** Prefix of the requests that are rejected because endpoints crashed while running them. */
   readonly suspectPrefix: string;
-  /** @param value - the operators' document */
+  /** @param value - the configuration document that the operators wrote */
   decodeConfiguration(value: Uint8Array): neverthrow.Result<serving.Configuration, string>;
-  /** @param id - the endpoint's id; @param value - its entry; @returns what it names, or why that can't be used */
+  /** @param id - the endpoint's id; @param value - its entry; @returns the endpoint, or why the entry is unusable */
   decodeEndpoint(id: string, value: Uint8Array): neverthrow.Result<serving.Endpoint, string>;
 }
 
-/** A caller's request, as far as its headers tell. */
+/** What the gateway reads from the headers of a caller's request. */
 export interface CallerHeaders {
   readonly requestId: string;
   /** Milliseconds that the caller will wait, if it said so. */
   readonly deadlineMs: number | undefined;
   readonly lastEventId: string | undefined;
   readonly prompt: serving.Prompt | undefined;
-  /** Headers to pass on, names and values by turns. */
+  /** Headers to forward, as alternating names and values. */
   readonly passedOn: readonly string[];
 }
 
-/** What the gateway adds to a request that it sends to an endpoint. */
+/** Values of the headers that the gateway adds to a request to an endpoint. */
 export interface SendHeaders {
-  /** Milliseconds that are left. */
+  /** Milliseconds until the deadline. */
   readonly deadlineMs: number;
   readonly endpointId: string;
   readonly urgency?: number;
-  /** Only read the prompt, and answer with a handle. */
+  /** Only prefill the prompt, and answer with a handle of the KV cache. */
   readonly prefillOnly?: boolean;
-  /** Go on from the prompt that this engine has read. */
+  /** Engine that has prefilled the prompt, and the handle of its KV cache: decoding continues from there. */
   readonly source?: { readonly address: string; readonly handle: string };
-  /** Copy what this engine keeps of the prompt before reading the rest. */
+  /** Engine whose cached part of the prompt is copied before the rest is prefilled. */
   readonly copyFrom?: string;
-  /** Go on after this event instead of the caller's own. */
+  /** Resume the stream after this event instead of the one that the caller named. */
   readonly lastEventId?: string;
 }
 
-/** The head of an endpoint's answer, as far as the gateway judges it. */
+/** What the gateway reads from the status and headers of an endpoint's answer. */
 export interface AnswerHead {
   readonly requestId: string | undefined;
   readonly sealed: boolean;
@@ -145,27 +147,27 @@
   readonly endpointId: string | undefined;
 }
 
-/** A prompt that an engine has read for another to go on with. */
+/** Result of a prefill, from which another engine can decode. */
 export interface PrefillResult {
   readonly handle: string;
 }
 
-/** A call of the gateway's own to an engine. */
+/** A call that the gateway itself makes to an engine. */
 export interface EngineCall {
   readonly method: string;
   readonly path: string;
-  /** @param endpointId - the engine that is meant; @returns names and values by turns */
+  /** @param endpointId - the engine that is called; @returns alternating names and values */
   headers(endpointId: string): string[];
   readonly body: string | undefined;
 }
 
-/** An engine's word of itself, some hundred milliseconds old. */
+/** State that an engine reports of itself; it may be some hundred milliseconds old. */
 export interface EngineState {
   /** Whether an order is being carried out. */
   readonly busy: boolean;
-  /** Orders that it has accepted since its start. */
+  /** Number of orders that it has accepted since its start. */
   readonly ordersAccepted: number;
-  /** Its start, in Unix milliseconds, if it says it. */
+  /** Its start, in Unix milliseconds, if it reports it. */
   readonly bornAt: number | undefined;
 }
 
@@ -173,24 +175,26 @@
 export interface RoleOrder {
   readonly role: serving.EngineRole;
   readonly holder: string;
-  /** Fencing token: an engine that has seen a higher one refuses. */
+  /** Fencing token: an engine that has seen a higher one refuses the order. */
   readonly token: number;
-  /** Orders that the engine has accepted so far; with another number it refuses. */
+  /** Number of orders that the engine has accepted so far; if its count differs, it refuses. */
   readonly expectedOrders: number;
 }
 
-/** How requests and answers are spelt between callers, gateway and endpoints. */
+/** The HTTP headers, paths and bodies that callers, gateway and endpoints exchange. */
 export interface MessageFormat {
   /**
-   * @param names - header names and values by turns, as received
-   * @returns the request's own headers, or what is wrong with them
+   * Parses the headers of a caller's request.
+   *
+   * @param names - alternating header names and values, as received
+   * @returns what the gateway uses of them, or what is wrong with them
    */
   readCaller(names: readonly string[]): neverthrow.Result<CallerHeaders, string>;
-  /** @param caller - the caller's headers; @param send - what is added; @returns names and values by turns */
+  /** @param caller - the caller's headers; @param send - what is added; @returns alternating names and values */
   writeRequestHeaders(caller: CallerHeaders, send: SendHeaders): string[];
   /** @param headers - the answer's headers by lower-case name; @param status - its status */
   readAnswer(status: number, headers: Readonly<Record<string, string | string[] | undefined>>): AnswerHead;
-  /** @param body - body of an answer to a request that was only read */
+  /** @param body - body of the answer to a prefill */
   readHandle(body: Uint8Array): neverthrow.Result<PrefillResult, string>;
   /** @param handle - the handle to free; @returns method and path of the call */
   freeHandleCall(handle: string): { readonly method: string; readonly path: string };
@@ -198,8 +202,8 @@
   engineStateCall(): EngineCall;
   /** @param body - body of the answer to {@link MessageFormat.engineStateCall} */
   readEngineState(body: Uint8Array): neverthrow.Result<EngineState, string>;
-  /** @param order - the order; @returns the call that gives it */
+  /** @param order - the order; @returns the call that sends it */
   roleOrderCall(order: RoleOrder): EngineCall;
-  /** Name of the header that tells when to come back, in seconds. */
+  /** Name of the header that tells the caller when to retry, in seconds. */
   readonly retryAfterHeader: string;
 }
--- a/packages/gateway/src/prefillHandover.ts
+++ b/packages/gateway/src/prefillHandover.ts
@@ -1,67 +1,67 @@
 import type * as serving from "@camphorcourse/serving";
 import type * as contexts from "./context.js";
 
-/** A prompt read at one engine, to be gone on with at another. */
-export interface HandedOver {
-  readonly reader: serving.Endpoint;
+/** A prompt that one engine has prefilled, so that another can decode. */
+export interface PrefilledPrompt {
+  readonly engine: serving.Endpoint;
+  /** Names the prompt's KV cache at the engine. */
   readonly handle: string;
 }
 
-/** The memory that an engine keeps of a request's prompt, until another engine goes on with it. */
+/** The KV cache that an engine keeps of a request's prefilled prompt until another engine takes it over. */
 export class PrefillHandover {
   readonly #context: contexts.ServingContext;
-  #handedOver: HandedOver | undefined;
+  #prefilled: PrefilledPrompt | undefined;
 
   /** @param context - what serving needs */
   constructor(context: contexts.ServingContext) {
     this.#context = context;
   }
 
-  /** @returns the prompt that was read, as long as nobody has gone on with it */
-  get handedOver(): HandedOver | undefined {
-    return this.#handedOver;
+  /** @returns the prefilled prompt, until another engine has taken it over */
+  get prefilled(): PrefilledPrompt | undefined {
+    return this.#prefilled;
   }
 
-  /** @param handedOver - a prompt that was read */
-  keep(handedOver: HandedOver): void {
-    this.#handedOver = handedOver;
+  /** @param prefilled - a prompt that has been prefilled */
+  keep(prefilled: PrefilledPrompt): void {
+    this.#prefilled = prefilled;
   }
 
-  /** An engine has gone on with it, or may have. */
+  /** An engine has taken the prefilled prompt over, or may have. */
   markTaken(): void {
-    this.#handedOver = undefined;
+    this.#prefilled = undefined;
   }
 
   /**
-   * A reader that has started again keeps nothing of before. Its handle names nothing
-   * there, or what it has read since for another request, whose answer the caller
-   * would get: a handle of its former life is forgotten.
+   * Drops the handle of an engine that has restarted, as the engine has lost its KV cache. After the restart the handle
+   * names nothing, or the prompt of another request, whose answer the caller would get.
    *
-   * @returns the reader, if it has started again since it read the prompt
+   * @returns the engine, if it has restarted since the prefill
    */
-  dropLost(): serving.Endpoint | undefined {
-    const handedOver = this.#handedOver;
-    if (handedOver === undefined || this.#isKept(handedOver)) return undefined;
-    this.#handedOver = undefined;
-    return handedOver.reader;
+  dropIfLost(): serving.Endpoint | undefined {
+    const prefilled = this.#prefilled;
+    if (prefilled === undefined || this.#isKept(prefilled)) return undefined;
+    this.#prefilled = undefined;
+    return prefilled.engine;
   }
 
-  /** Memory of a prompt that nobody goes on with is freed instead of being kept until it lapses. */
+  /** Frees the KV cache of a prompt that no engine will take over, instead of leaving it until it expires. */
   free(): void {
-    const handedOver = this.#handedOver;
-    this.#handedOver = undefined;
-    // At a later life the handle would name what that has read for another request.
-    if (handedOver === undefined || !this.#isKept(handedOver)) return;
-    const call = this.#context.format.freeHandleCall(handedOver.handle);
+    const prefilled = this.#prefilled;
+    this.#prefilled = undefined;
+    // After a restart of the engine, the handle may name the prompt of another request.
+    if (prefilled === undefined || !this.#isKept(prefilled)) return;
+    const call = this.#context.format.freeHandleCall(prefilled.handle);
     const ignore = (): void => undefined;
     this.#context.client.send(
-      handedOver.reader,
+      prefilled.engine,
       { method: call.method, path: call.path, headers: [], body: undefined },
       { onHead: () => true, onData: ignore, onEnd: ignore, onBroken: ignore },
     );
   }
 
-  #isKept(handedOver: HandedOver): boolean {
-    return this.#context.view.directory.isSameLife(handedOver.reader);
+  #isKept(prefilled: PrefilledPrompt): boolean {
+    return this.#context.view.directory.isSameLife(prefilled.engine);
   }
 }
--- a/packages/gateway/src/promptReceiver.ts
+++ b/packages/gateway/src/prefillReceiver.ts
@@ -4,8 +4,8 @@
 
 const HTTP_OK = 200;
 
-/** Takes the answer to a prompt that an engine only reads: a handle for another engine to go on with. */
-export class PromptReceiver implements sendings.AnswerReceiver {
+/** Receives the answer to a prefill: a handle with which another engine can decode. */
+export class PrefillReceiver implements sendings.AnswerReceiver {
   readonly #send: exchangeParts.AnsweredSend;
   readonly #chunks: Buffer[] = [];
   #status = 0;
@@ -35,12 +35,12 @@
   onEnd(): void {
     const { active, results, context, served, memory, lessons } = this.#send;
     if (!results.end(active)) return;
-    const whole = Buffer.concat(this.#chunks);
-    const handle = this.#status === HTTP_OK ? context.format.readHandle(whole) : undefined;
-    if (handle?.isOk() === true) {
+    const body = Buffer.concat(this.#chunks);
+    const result = this.#status === HTTP_OK ? context.format.readHandle(body) : undefined;
+    if (result?.isOk() === true) {
       lessons.recordResult(active, serving.SendResult.Good);
       lessons.learnPrefillTime(active);
-      memory.keep({ reader: active.endpoint, handle: handle.value.handle });
+      memory.keep({ engine: active.endpoint, handle: result.value.handle });
       served.forgetTry(active.endpoint.id);
       results.sendNext();
       return;
@@ -52,12 +52,12 @@
   /**
    * {@inheritDoc sendings.AnswerReceiver.onBroken}
    *
-   * Reading a prompt runs nothing, so a lost answer to it leaves the request not run.
+   * A prefill doesn't run the request, so the request has not run even if the prefill's answer is lost.
    */
-  onBroken(fate: serving.SendFate, detail: string): void {
+  onBroken(outcome: serving.SendFate, detail: string): void {
     const { active, results } = this.#send;
     if (!results.end(active)) return;
-    const known = fate === serving.SendFate.NotSent ? fate : serving.SendFate.Declined;
-    results.broken(active, known, detail);
+    const prefillOutcome = outcome === serving.SendFate.NotSent ? outcome : serving.SendFate.Declined;
+    results.broken(active, prefillOutcome, detail);
   }
 }
--- a/packages/gateway/src/requestForwarder.ts
+++ b/packages/gateway/src/requestForwarder.ts
@@ -3,14 +3,14 @@
 import * as answerReceivers from "./answerReceiver.js";
 import type * as sendings from "./sending.js";
 import type * as exchangeParts from "./exchangeParts.js";
-import * as promptReceivers from "./promptReceiver.js";
+import * as prefillReceivers from "./prefillReceiver.js";
 import * as sendChoosers from "./sendChooser.js";
 
 const NOT_FOUND = 404;
 const BAD_GATEWAY = 502;
 const GATEWAY_TIMEOUT = 504;
 
-/** The sends of one request, one after the other, until one gives its final answer. */
+/** Forwards one request to endpoints, one send after the other, until one gives its final answer. */
 export class RequestForwarder implements exchangeParts.SendResults {
   readonly #parts: exchangeParts.ExchangeParts;
   readonly #chooser: sendChoosers.SendChooser;
@@ -22,7 +22,7 @@
     this.#chooser = new sendChoosers.SendChooser(parts.context, parts.served);
   }
 
-  /** @returns the send that is under way */
+  /** @returns the send that is in flight */
   get active(): activeSends.ActiveSend | undefined {
     return this.#active;
   }
@@ -30,13 +30,13 @@
   /**
    * {@inheritDoc exchangeParts.SendResults.sendNext}
    *
-   * A fault in a decision costs this request only: uncaught, it would end the daemon with all its callers, or leave
-   * this one without an answer where the HTTP library catches it.
+   * An exception in a decision fails this request only. Uncaught, it would end the daemon with all its callers, or leave
+   * this caller without an answer if the HTTP library caught it.
    */
   sendNext(): void {
     const { context, end, served } = this.#parts;
     try {
-      this.#goOn();
+      this.#chooseAndSend();
     } catch (error) {
       const { message, stack } = error as Error;
       context.log.warn("request-fault", { id: served.id, detail: message, stack });
@@ -46,32 +46,32 @@
     }
   }
 
-  #goOn(): void {
+  #chooseAndSend(): void {
     const { end, memory, served } = this.#parts;
     if (end.over) return;
-    // A loop that has fallen behind hears an endpoint before the deadline's own timer: sent on, the request would run
-    // for a caller that has gone.
+    // A lagging event loop may process an endpoint's result before the deadline timer. Sent again, the request would run
+    // for a caller that no longer waits.
     if (served.remainingMs <= 0) {
       end.timeUp(served.mayHaveRun);
       return;
     }
     if (!served.followConfiguration()) {
-      end.give(NOT_FOUND, "route-removed", "no route leads there any more");
+      end.give(NOT_FOUND, "route-removed", "the request's route was removed from the configuration");
       return;
     }
-    const lostReader = memory.dropLost();
-    if (lostReader !== undefined) {
-      this.#readAgain(lostReader);
+    const restartedEngine = memory.dropIfLost();
+    if (restartedEngine !== undefined) {
+      this.#prefillAgain(restartedEngine);
       return;
     }
     const admitted = this.#parts.context.suspects.admit(served);
     if (admitted.isErr()) {
-      end.reject(admitted.error.reason, admitted.error.returnAfterMs);
+      end.reject(admitted.error.reason, admitted.error.retryAfterMs);
       return;
     }
     if (admitted.value) memory.free();
-    const choice = admitted.value ? this.#chooser.chooseAlone() : this.#chooser.choose(memory.handedOver?.reader);
-    if (choice.isErr()) end.reject(choice.error.reason, choice.error.returnAfterMs);
+    const choice = admitted.value ? this.#chooser.chooseIsolated() : this.#chooser.choose(memory.prefilled?.engine);
+    if (choice.isErr()) end.reject(choice.error.reason, choice.error.retryAfterMs);
     else this.#dispatch(choice.value);
   }
 
@@ -84,33 +84,33 @@
   }
 
   /** {@inheritDoc exchangeParts.SendResults.failed} */
-  failed(active: activeSends.ActiveSend, fate: serving.SendFate, detail: string): void {
+  failed(active: activeSends.ActiveSend, outcome: serving.SendFate, detail: string): void {
     const { context, end, lessons, memory, served } = this.#parts;
-    const declined = fate === serving.SendFate.Declined;
+    const declined = outcome === serving.SendFate.Declined;
     lessons.recordResult(active, declined ? serving.SendResult.Declined : serving.SendResult.Failed);
-    this.#countFailed(active, fate);
-    if (fate === serving.SendFate.Unknown) served.noteMayHaveRun();
+    this.#countFailed(active, outcome);
+    if (outcome === serving.SendFate.Unknown) served.noteMayHaveRun();
     if (declined && active.stage === sendChoosers.Stage.Answering) memory.free();
-    if (fate === serving.SendFate.Unknown) memory.markTaken();
-    const step = served.decide(fate);
+    if (outcome === serving.SendFate.Unknown) memory.markTaken();
+    const step = served.decide(outcome);
     context.log.info("send-failed", {
       id: served.id,
       endpoint: active.endpoint.id,
-      fate,
+      fate: outcome,
       detail,
       sends: served.sends,
       step,
-      ...active.departure,
+      ...active.dispatchFields,
       tookMs: Math.round(performance.now() - active.sentAt),
     });
     if (step === serving.NextStep.SendAgain) this.sendNext();
-    else if (step === serving.NextStep.Reject) end.reject(`send-${fate}`);
-    else if (step === serving.NextStep.TimedOut) end.give(GATEWAY_TIMEOUT, "timed-out", "the time is up");
+    else if (step === serving.NextStep.Reject) end.reject(`send-${outcome}`);
+    else if (step === serving.NextStep.TimedOut) end.give(GATEWAY_TIMEOUT, "timed-out", "the deadline has passed");
     else end.give(BAD_GATEWAY, "endpoint-failed", "the request may have run and its answer is lost");
   }
 
   /** {@inheritDoc exchangeParts.SendResults.broken} */
-  broken(active: activeSends.ActiveSend, fate: serving.SendFate, detail: string): void {
+  broken(active: activeSends.ActiveSend, outcome: serving.SendFate, detail: string): void {
     const { context, served } = this.#parts;
     if (active.wasDispatched) {
       served.noteBroken(context.suspects.isSuspected(served));
@@ -119,10 +119,10 @@
         brokeAt: performance.now(),
       });
     }
-    this.failed(active, fate, detail);
+    this.failed(active, outcome, detail);
   }
 
-  /** The request is over: what runs for it is cancelled. */
+  /** Cancels the send in flight and frees what is kept for the request, which is over. */
   stop(): void {
     const active = this.#active;
     this.#active = undefined;
@@ -141,17 +141,17 @@
       id: served.id,
       endpoint: active.endpoint.id,
       stage: active.stage,
-      ...active.departure,
+      ...active.dispatchFields,
       tookMs: Math.round(performance.now() - active.sentAt),
     });
   }
 
-  /** What the reader kept of the prompt is lost: the prompt is read anew, which counts as a send. */
-  #readAgain(reader: serving.Endpoint): void {
+  /** Starts over with a new prefill, which counts as a send: the engine has lost the KV cache that it kept. */
+  #prefillAgain(engine: serving.Endpoint): void {
     const { context, end, served } = this.#parts;
     served.countSend();
     const step = served.decide(serving.SendFate.Declined);
-    context.log.info("handle-lost", { id: served.id, endpoint: reader.id, step });
+    context.log.info("handle-lost", { id: served.id, endpoint: engine.id, step });
     if (step === serving.NextStep.SendAgain) this.sendNext();
     else end.reject("handle-lost");
   }
@@ -163,7 +163,7 @@
     this.#active = active;
     served.noteTry(planned.endpoint.id);
     if (planned.stage === sendChoosers.Stage.Answering) served.countSend();
-    const urgency = planned.plan?.level ?? (this.#parts.memory.handedOver === undefined ? undefined : 0);
+    const urgency = planned.plan?.level ?? (this.#parts.memory.prefilled === undefined ? undefined : 0);
     const message = this.#message(planned, remainingMs, urgency);
     context.log.info("send", {
       id: served.id,
@@ -179,8 +179,8 @@
       entryRevision: context.view.directory.revision,
       configuration: context.view.configurationRevision,
     });
-    active.begin(message, this.#receiver(active), (silentMs) => {
-      if (this.#active === active) this.#leaveSilent(active, silentMs);
+    active.start(message, this.#receiver(active), (silentMs) => {
+      if (this.#active === active) this.#abandonSilent(active, silentMs);
     });
   }
 
@@ -190,14 +190,14 @@
     urgency: number | undefined,
   ): sendings.OutgoingRequest {
     const { context, memory, served } = this.#parts;
-    const source = memory.handedOver;
+    const source = memory.prefilled;
     const { lastEventId } = served.progress;
     const headers = context.format.writeRequestHeaders(served.caller.headers, {
       deadlineMs: remainingMs,
       endpointId: planned.endpoint.id,
       ...(urgency === undefined ? {} : { urgency }),
-      ...(planned.stage === sendChoosers.Stage.Reading ? { prefillOnly: true } : {}),
-      ...(source === undefined ? {} : { source: { address: source.reader.address, handle: source.handle } }),
+      ...(planned.stage === sendChoosers.Stage.Prefill ? { prefillOnly: true } : {}),
+      ...(source === undefined ? {} : { source: { address: source.engine.address, handle: source.handle } }),
       ...(planned.plan?.copySource === undefined ? {} : { copyFrom: planned.plan.copySource.address }),
       ...(lastEventId === undefined ? {} : { lastEventId }),
     });
@@ -208,19 +208,20 @@
 
   #receiver(active: activeSends.ActiveSend): sendings.AnswerReceiver {
     const send: exchangeParts.AnsweredSend = { ...this.#parts, active, results: this };
-    if (active.stage === sendChoosers.Stage.Reading) return new promptReceivers.PromptReceiver(send);
+    if (active.stage === sendChoosers.Stage.Prefill) return new prefillReceivers.PrefillReceiver(send);
     return new answerReceivers.AnswerReceiver(send);
   }
 
-  #leaveSilent(active: activeSends.ActiveSend, silentMs: number): void {
+  /** Sends the request elsewhere if that is allowed; otherwise the send to the silent endpoint goes on. */
+  #abandonSilent(active: activeSends.ActiveSend, silentMs: number): void {
     const { context, lessons, served } = this.#parts;
-    const reading = active.stage === sendChoosers.Stage.Reading;
-    if (!reading && !serving.mayRepeat(served.route)) return;
-    const fate = reading ? serving.SendFate.Declined : serving.SendFate.Unknown;
-    if (reading) served.countSend();
-    const step = served.decide(fate);
+    const isPrefill = active.stage === sendChoosers.Stage.Prefill;
+    if (!isPrefill && !serving.mayRepeat(served.route)) return;
+    const outcome = isPrefill ? serving.SendFate.Declined : serving.SendFate.Unknown;
+    if (isPrefill) served.countSend();
+    const step = served.decide(outcome);
     if (step !== serving.NextStep.SendAgain) {
-      if (reading) served.uncountSend();
+      if (isPrefill) served.uncountSend();
       return;
     }
     context.log.warn("endpoint-silent", {
@@ -230,16 +231,16 @@
       silentMs: Math.round(silentMs),
       step,
     });
-    if (!reading) served.noteMayHaveRun();
+    if (!isPrefill) served.noteMayHaveRun();
     lessons.recordResult(active, serving.SendResult.Silent);
     active.cancel();
     if (this.end(active)) this.sendNext();
   }
 
-  /** A send counts unless nothing of it left; the first read that an engine accepts doesn't, a rejected one does. */
-  #countFailed(active: activeSends.ActiveSend, fate: serving.SendFate): void {
+  /** A send counts unless nothing of it was sent. A prefill counts only when it fails, not when the engine accepts it. */
+  #countFailed(active: activeSends.ActiveSend, outcome: serving.SendFate): void {
     const { served } = this.#parts;
-    if (active.stage === sendChoosers.Stage.Answering && fate === serving.SendFate.NotSent) served.uncountSend();
-    if (active.stage === sendChoosers.Stage.Reading && fate !== serving.SendFate.NotSent) served.countSend();
+    if (active.stage === sendChoosers.Stage.Answering && outcome === serving.SendFate.NotSent) served.uncountSend();
+    if (active.stage === sendChoosers.Stage.Prefill && outcome !== serving.SendFate.NotSent) served.countSend();
   }
 }
--- a/packages/gateway/src/sendChooser.ts
+++ b/packages/gateway/src/sendChooser.ts
@@ -3,10 +3,10 @@
 import type * as contexts from "./context.js";
 import type * as servedRequests from "./servedRequest.js";
 
-/** Where the request is on its way. */
+/** What a send asks of its endpoint. */
 export enum Stage {
-  /** An engine reads the prompt for another. */
-  Reading = "reading",
+  /** An engine prefills the prompt for another one. */
+  Prefill = "reading",
   /** An endpoint answers the request. */
   Answering = "answering",
 }
@@ -20,17 +20,17 @@
   readonly plan: serving.EnginePlan | undefined;
 }
 
-/** Why the request goes nowhere. */
-export interface NoSend {
+/** Why a request is sent to no endpoint. */
+export interface SendRejection {
   readonly reason: string;
-  /** Time after which the caller may come back in milliseconds, or undefined for the usual one. */
-  readonly returnAfterMs?: number;
+  /** Time after which the caller may retry in milliseconds, or undefined for the default. */
+  readonly retryAfterMs?: number;
 }
 
-/** What became of a choice. */
-export type Choice = neverthrow.Result<PlannedSend, NoSend>;
+/** A planned send, or why there is none. */
+export type Choice = neverthrow.Result<PlannedSend, SendRejection>;
 
-/** Chooses where a request goes next. */
+/** Chooses the endpoint of a request's next send. */
 export class SendChooser {
   readonly #context: contexts.ServingContext;
   readonly #served: servedRequests.ServedRequest;
@@ -45,53 +45,53 @@
   }
 
   /**
-   * Chooses for a send that follows at once: a prompt's reading is noted with the engine.
+   * Chooses for a send that follows at once: the prompt of a prefill is recorded as cached by its engine.
    *
-   * @param reader - the engine that has read the prompt, if one has, so that another may go on from there
+   * @param prefillEngine - the engine that has prefilled the prompt, if one has, so that another can decode from there
    * @returns the send, or why there is none
    */
-  choose(reader: serving.Endpoint | undefined): Choice {
+  choose(prefillEngine: serving.Endpoint | undefined): Choice {
     const definition = this.#context.view.table?.service(this.#served.service);
     const prompt = this.#served.caller.headers.prompt;
-    if (definition?.engine === undefined || prompt === undefined) return this.#choosePlain(definition);
-    return this.#chooseEngine(definition, definition.engine, prompt, reader);
+    if (definition?.engine === undefined || prompt === undefined) return this.#chooseLeastBusy(definition);
+    return this.#chooseEngine(definition, definition.engine, prompt, prefillEngine);
   }
 
   /**
-   * Chooses for a request under which endpoints have ended: the endpoint with the least beside it, as long as it is not
-   * the service's last one. Its prompt is read there too, so that no second engine is at risk.
+   * Chooses for a request under which endpoints have crashed: the endpoint with the fewest other requests, unless it is
+   * the only one of the service. It prefills the prompt itself, so that no second engine is at risk.
    *
    * @returns the send, or why there is none
    */
-  chooseAlone(): Choice {
-    const { board, crashDetector: endDetector, view } = this.#context;
+  chooseIsolated(): Choice {
+    const { board, crashDetector, view } = this.#context;
     const definition = view.table?.service(this.#served.service);
     const prompt = this.#served.caller.headers.prompt;
     const now = performance.now();
-    const able = this.#candidates(definition)
-      .filter((endpoint) => endpoint.role !== serving.EngineRole.Prefill && !endDetector.hasEnded(endpoint, now))
+    const candidates = this.#candidates(definition)
+      .filter((endpoint) => endpoint.role !== serving.EngineRole.Prefill && !crashDetector.hasCrashed(endpoint, now))
       .sort((left, right) => board.running(left.id, now) - board.running(right.id, now));
-    const [emptiest, another] = able;
-    if (emptiest === undefined || another === undefined) return neverthrow.err({ reason: "no-spare-endpoint" });
-    if (definition?.engine === undefined || prompt === undefined) return answeringAt(emptiest, "no-endpoint");
-    return this.#placeOn([emptiest], definition, definition.engine, prompt);
+    const [leastBusy, another] = candidates;
+    if (leastBusy === undefined || another === undefined) return neverthrow.err({ reason: "no-spare-endpoint" });
+    if (definition?.engine === undefined || prompt === undefined) return answeringAt(leastBusy, "no-endpoint");
+    return this.#placeOn([leastBusy], definition, definition.engine, prompt);
   }
 
   #candidates(definition: serving.Service | undefined): serving.Endpoint[] {
     const { view, client, health } = this.#context;
     const daemons = this.#context.liveDaemons();
     const now = performance.now();
-    const open = view.directory
+    const available = view.directory
       .serving(this.#served.service)
       .filter((endpoint) => !this.#served.wasTried(endpoint.id) && !view.isChanging(endpoint, now))
       .filter((endpoint) =>
         client.hasRoom(endpoint.id, definition?.maxConnections ?? Number.MAX_SAFE_INTEGER, daemons),
       );
-    const trials = serving.mayRepeat(this.#served.route);
-    return health.usable(open, trials, now);
+    const mayProbe = serving.mayRepeat(this.#served.route);
+    return health.usable(available, mayProbe, now);
   }
 
-  #choosePlain(definition: serving.Service | undefined): Choice {
+  #chooseLeastBusy(definition: serving.Service | undefined): Choice {
     const { board, health, random, settings } = this.#context;
     const endpoint = serving.leastBusy({
       endpoints: this.#candidates(definition),
@@ -106,20 +106,20 @@
 
   #chooseEngine(
     definition: serving.Service,
-    engine: serving.EngineLimits,
+    limits: serving.EngineLimits,
     prompt: serving.Prompt,
-    promptReader: serving.Endpoint | undefined,
+    prefillEngine: serving.Endpoint | undefined,
   ): Choice {
     const engines = this.#candidates(definition);
-    if (promptReader === undefined) return this.#placeOn(engines, definition, engine, prompt);
-    const inputs = this.#placementInputs(engines, definition, engine, prompt);
-    return answeringAt(serving.placeDecoder(inputs, promptReader), "no-engine");
+    if (prefillEngine === undefined) return this.#placeOn(engines, definition, limits, prompt);
+    const inputs = this.#placementInputs(engines, definition, limits, prompt);
+    return answeringAt(serving.placeDecoder(inputs, prefillEngine), "no-engine");
   }
 
   #placementInputs(
     engines: readonly serving.Endpoint[],
     definition: serving.Service,
-    engine: serving.EngineLimits,
+    limits: serving.EngineLimits,
     prompt: serving.Prompt,
   ): serving.PlacementInputs {
     const { board, health, settings, speeds } = this.#context;
@@ -127,7 +127,7 @@
       prompt,
       engines,
       board,
-      memoryTokens: engine.memoryTokens,
+      memoryTokens: limits.memoryTokens,
       speeds: speeds.of(definition.name),
       slowness: (id) => health.slowness(id),
       dataCentre: settings.dataCentre,
@@ -139,28 +139,28 @@
   #placeOn(
     engines: readonly serving.Endpoint[],
     definition: serving.Service,
-    engine: serving.EngineLimits,
+    limits: serving.EngineLimits,
     prompt: serving.Prompt,
   ): Choice {
-    const inputs = this.#placementInputs(engines, definition, engine, prompt);
+    const inputs = this.#placementInputs(engines, definition, limits, prompt);
     const placed = serving.placePrompt(inputs);
     if (placed === undefined) return neverthrow.err({ reason: "no-engine" });
     this.#noteDemand(placed, prompt);
     const admitted = this.#admit(placed, inputs);
     if (admitted.isErr()) {
-      return neverthrow.err({ reason: "overloaded", returnAfterMs: admitted.error.returnAfterMs });
+      return neverthrow.err({ reason: "overloaded", retryAfterMs: admitted.error.returnAfterMs });
     }
     const plan = admitted.value;
-    const reader = plan.reader ?? plan.decoder;
-    this.#context.board.noteRead(reader.id, engine.memoryTokens, prompt);
-    const stage = plan.reader === undefined ? Stage.Answering : Stage.Reading;
-    return neverthrow.ok({ endpoint: reader, stage, predictedMs: plan.predictedMs, plan });
+    const firstEngine = plan.reader ?? plan.decoder;
+    this.#context.board.noteRead(firstEngine.id, limits.memoryTokens, prompt);
+    const stage = plan.reader === undefined ? Stage.Answering : Stage.Prefill;
+    return neverthrow.ok({ endpoint: firstEngine, stage, predictedMs: plan.predictedMs, plan });
   }
 
   #noteDemand(plan: serving.EnginePlan, prompt: serving.Prompt): void {
     const { demand, speeds } = this.#context;
-    const readingMs = speeds.of(this.#served.service).readMs(serving.EngineRole.Prefill, plan.workTokens);
-    demand.add(readingMs, prompt, performance.now());
+    const prefillMs = speeds.of(this.#served.service).readMs(serving.EngineRole.Prefill, plan.workTokens);
+    demand.add(prefillMs, prompt, performance.now());
   }
 
   #admit(
@@ -169,7 +169,7 @@
   ): neverthrow.Result<serving.EnginePlan, serving.Rejection> {
     const { random, sizeShares, speeds } = this.#context;
     const { route, sends, mayHaveRun, remainingMs } = this.#served;
-    // What has begun is finished, and what was sent before gets its other chance.
+    // Only a first send is subject to admission: a request that has been sent before is finished or retried.
     if (sends > 0 || mayHaveRun) return neverthrow.ok(plan);
     const limits: serving.PromptLimits = {
       kind: route.name,
@@ -180,14 +180,14 @@
       draw: random.next(),
     };
     const admitted = serving.admitPrompt(plan, placement, limits, sizeShares);
-    if (admitted.isErr()) this.#logTurnedAway(plan, limits, admitted.error);
-    else if (admitted.value.level !== plan.level) this.#logMovedUp(plan, admitted.value);
+    if (admitted.isErr()) this.#logRejected(plan, limits, admitted.error);
+    else if (admitted.value.level !== plan.level) this.#logUrgencyRaised(plan, admitted.value);
     return admitted;
   }
 
-  #logTurnedAway(plan: serving.EnginePlan, limits: serving.PromptLimits, rejection: serving.Rejection): void {
+  #logRejected(plan: serving.EnginePlan, limits: serving.PromptLimits, rejection: serving.Rejection): void {
     const tokens = this.#served.caller.headers.prompt?.promptTokens ?? 0;
-    const shares = this.#context.sizeShares.taken(limits.kind, tokens, performance.now());
+    const rates = this.#context.sizeShares.taken(limits.kind, tokens, performance.now());
     this.#context.log.info("turned-away", {
       id: this.#served.id,
       predictedMs: Math.round(plan.predictedMs),
@@ -196,13 +196,13 @@
       remainingMs: Math.round(limits.remainingMs),
       unread: plan.unreadTokens,
       ahead: Math.round(plan.tokensAhead),
-      takenOfSize: shares.ofSize.toFixed(2),
-      takenOfAll: shares.ofAll.toFixed(2),
+      takenOfSize: rates.ofSize.toFixed(2),
+      takenOfAll: rates.ofAll.toFixed(2),
       returnAfterMs: Math.round(rejection.returnAfterMs),
     });
   }
 
-  #logMovedUp(from: serving.EnginePlan, to: serving.EnginePlan): void {
+  #logUrgencyRaised(from: serving.EnginePlan, to: serving.EnginePlan): void {
     this.#context.log.info("moved-up", {
       id: this.#served.id,
       unread: from.unreadTokens,
--- a/packages/gateway/src/sending.ts
+++ b/packages/gateway/src/sending.ts
@@ -7,38 +7,40 @@
 export interface OutgoingRequest {
   readonly method: string;
   readonly path: string;
-  /** Names and values by turns. */
+  /** Alternating names and values. */
   readonly headers: string[];
   readonly body: Buffer | undefined;
-  /** Instant from which it is not sent any more, in milliseconds, where there is one. */
+  /** Instant from which it must not be sent any more, in milliseconds, if there is one. */
   readonly sendBefore?: number;
 }
 
-/** Takes an answer as it comes. */
+/** Receives an answer as it arrives. */
 export interface AnswerReceiver {
-  /** @returns false to break the connection: the answer isn't for this request */
+  /** @returns false to close the connection because the answer isn't for this request */
   onHead(status: number, headers: AnswerHeaders): boolean;
   onData(chunk: Buffer): void;
-  /** The whole answer has come. */
+  /** The answer is complete. */
   onEnd(): void;
   /**
+   * The connection broke before the answer was complete.
+   *
    * @param fate - whether the request may have run
    * @param detail - what went wrong
    */
   onBroken(fate: serving.SendFate, detail: string): void;
 }
 
-/** A send that is under way. */
+/** A request that is being sent to an endpoint, or waits for its answer. */
 export interface InFlightRequest {
-  /** Whether a part of the request may have left; before, its connection is being opened. */
+  /** Whether a part of the request may have been sent; before that, its connection is being opened. */
   readonly wasDispatched: boolean;
-  /** Instant at which the request was handed to its connection, in milliseconds, once it was. */
+  /** Instant at which the request was handed to its connection, in milliseconds, or undefined before that. */
   readonly dispatchedAt: number | undefined;
-  /** Bytes that the connection has been given and has not taken yet: its link or the endpoint is slow. */
+  /** Bytes buffered for the connection but not yet sent: its link or the endpoint is slow. */
   readonly unsentBytes: number;
-  /** Closes the connection; the endpoint drops the request. */
+  /** Closes the connection, upon which the endpoint drops the request. */
   cancel(): void;
-  /** Reads no more of the answer until {@link InFlightRequest.resume}. */
+  /** Stops reading the answer until {@link InFlightRequest.resume}. */
   pause(): void;
   resume(): void;
 }
--- a/packages/gateway/src/suspects/crashProtection.ts
+++ b/packages/gateway/src/suspects/crashProtection.ts
@@ -1,7 +1,7 @@
 import type * as serving from "@camphorcourse/serving";
 import type * as decisionLogs from "../decisionLog.js";
 import type * as endpointClients from "../endpointClient.js";
-import * as endpointEndDetectors from "../endpointCrashDetector.js";
+import * as crashDetectors from "../endpointCrashDetector.js";
 import type * as ports from "../ports.js";
 import * as suspectGates from "./suspectGate.js";
 import * as suspectStores from "./suspectStore.js";
@@ -9,26 +9,26 @@
 /** What protecting endpoints needs. */
 export interface CrashProtectionParts {
   readonly store: ports.DurableStore;
-  /** Prefix of the keys under which rejected requests are kept. */
+  /** Prefix of the keys under which rejected requests are stored. */
   readonly prefix: string;
   readonly log: decisionLogs.DecisionLog;
   readonly client: endpointClients.EndpointClient;
   readonly directory: serving.EndpointDirectory;
-  /** Called for each endpoint that has ended. */
+  /** Called for each endpoint that has crashed. */
   readonly onCrashed: () => void;
-  /** Called when the peers are to hear of a suspect at once. */
+  /** Called when a suspect has to be reported to the peers at once. */
   readonly onEscalated: () => void;
 }
 
-/** Notices endpoints that end, counts the requests under which they did, and keeps those from the others. */
+/** Detects crashed endpoints, counts the requests that ran on them, and keeps those requests from further endpoints. */
 export class CrashProtection {
-  readonly crashDetector: endpointEndDetectors.EndpointCrashDetector;
+  readonly crashDetector: crashDetectors.EndpointCrashDetector;
   readonly gate: suspectGates.SuspectGate;
   readonly #store: suspectStores.SuspectStore;
 
   /** @param parts - what it needs */
   constructor(parts: CrashProtectionParts) {
-    const { store, prefix, log, client, directory, onCrashed: onEnded, onEscalated } = parts;
+    const { store, prefix, log, client, directory, onCrashed, onEscalated } = parts;
     this.gate = new suspectGates.SuspectGate({
       log,
       heardAt: (endpointId) => client.heardAt(endpointId),
@@ -41,18 +41,18 @@
       log,
       recordOf: (fingerprint) => this.gate.table.recordOf(fingerprint, performance.now()),
     });
-    this.crashDetector = new endpointEndDetectors.EndpointCrashDetector({
+    this.crashDetector = new crashDetectors.EndpointCrashDetector({
       log,
       hasLiveConnection: (endpointId) => client.hasLiveConnection(endpointId),
       isLeaving: ({ id }) => !directory.mayServe(id),
       onCrashed: (endpoint, runs) => {
-        onEnded();
-        this.gate.noteEnded(endpoint, runs);
+        onCrashed();
+        this.gate.noteCrashed(endpoint, runs);
       },
     });
   }
 
-  /** Ends what is still under way. */
+  /** Stops pending writes to the key-value service. */
   stop(): void {
     this.#store.stop();
   }
--- a/packages/gateway/src/suspects/suspectGate.ts
+++ b/packages/gateway/src/suspects/suspectGate.ts
@@ -2,32 +2,32 @@
 import * as serving from "@camphorcourse/serving";
 import * as neverthrow from "neverthrow";
 import type * as decisionLogs from "../decisionLog.js";
-import type * as endpointEndDetectors from "../endpointCrashDetector.js";
+import type * as crashDetectors from "../endpointCrashDetector.js";
 import type * as sendChoosers from "../sendChooser.js";
 import type * as servedRequests from "../servedRequest.js";
 
-/** Time after its end at which something heard from an endpoint shows that it has not ended, in milliseconds; late loops hear late. */
+/** Time after a reported crash from which data received from the endpoint refutes it, in milliseconds: a lagging event loop processes data late. */
 const REFUTED_AFTER_MS = 1_000;
 
-/** Requests that this daemon saw endpoints end under, as many as it remembers. */
-const MOST_OBSERVED = 1_024;
+/** Maximum number of requests that this daemon remembers to have run on an endpoint that crashed. */
+const MAX_OBSERVED = 1_024;
 
 /** What the gate needs. */
 export interface SuspectGateParts {
   readonly log: decisionLogs.DecisionLog;
-  /** @returns instant at which anything last came from an endpoint, in milliseconds */
+  /** @returns instant at which data was last received from an endpoint, in milliseconds */
   readonly heardAt: (endpointId: string) => number;
-  /** Called when a request is isolated or rejected from now on: the peers hear of it at once. */
+  /** Called when a request is isolated or rejected from now on, to report it to the peers at once. */
   readonly onEscalated: () => void;
-  /** Takes a request that is rejected from now on, of which this daemon saw an end. */
+  /** Called with a request that is rejected from now on, if this daemon observed a crash under it. */
   readonly onQuarantined: (fingerprint: string) => void;
 }
 
-/** Keeps requests that crash endpoints from the endpoints: what is suspected runs alone, what ended three is rejected. */
+/** Protects endpoints from requests that crash them: a suspect is run alone, and rejected after three crashes. */
 export class SuspectGate {
   readonly table: serving.SuspectTable;
   readonly #parts: SuspectGateParts;
-  /** Endpoints that are listed now, by their lives. */
+  /** Ids of the endpoints that are listed now, by their incarnations. */
   readonly #listed = new Map<number, string>();
   readonly #observed = new Set<string>();
   readonly #trials = new Map<servedRequests.ServedRequest, string>();
@@ -36,16 +36,18 @@
   constructor(parts: SuspectGateParts) {
     this.#parts = parts;
     this.table = new serving.SuspectTable({
-      isRefuted: (life, endedAt) => this.#isRefuted(life, endedAt),
-      onChange: (fingerprint, suspicion, ends) => this.#onChange(fingerprint, suspicion, ends),
+      isRefuted: (incarnation, crashedAt) => this.#isRefuted(incarnation, crashedAt),
+      onChange: (fingerprint, suspicion, crashes) => this.#onChange(fingerprint, suspicion, crashes),
     });
   }
 
   /**
+   * Decides whether a request may be sent; a suspect that may be is on trial until {@link SuspectGate.release}.
+   *
    * @param served - a request that is about to be sent
-   * @returns whether it runs alone, or why it is not sent
+   * @returns whether it has to run alone, or why it is not sent
    */
-  admit(served: servedRequests.ServedRequest): neverthrow.Result<boolean, sendChoosers.NoSend> {
+  admit(served: servedRequests.ServedRequest): neverthrow.Result<boolean, sendChoosers.SendRejection> {
     if (this.#trials.has(served)) return neverthrow.ok(true);
     if (this.table.isEmpty) return neverthrow.ok(false);
     const now = performance.now();
@@ -64,7 +66,7 @@
 
   /**
    * @param served - a request
-   * @returns whether an endpoint has ended under it since a run of it ended well
+   * @returns whether an endpoint has crashed under it since its last successful run
    */
   isSuspected(served: servedRequests.ServedRequest): boolean {
     if (this.table.isEmpty) return false;
@@ -73,7 +75,7 @@
     return [content, ofCaller].some((each) => this.table.suspicionOf(each, now) !== serving.Suspicion.None);
   }
 
-  /** @param served - a request whose run has ended well */
+  /** @param served - a request that has run successfully */
   noteSuccess(served: servedRequests.ServedRequest): void {
     if (this.table.isEmpty) return;
     const now = performance.now();
@@ -81,7 +83,7 @@
     for (const fingerprint of [content, ofCaller]) this.table.noteCleanRun(fingerprint, now);
   }
 
-  /** @param served - a request that is over */
+  /** @param served - a request that is over, with its trial */
   release(served: servedRequests.ServedRequest): void {
     const fingerprint = this.#trials.get(served);
     if (fingerprint === undefined) return;
@@ -90,29 +92,29 @@
   }
 
   /**
-   * @param endpoint - an endpoint that has ended
+   * @param endpoint - an endpoint that has crashed
    * @param runs - what was running there for this daemon's callers
    */
-  noteEnded(endpoint: serving.Endpoint, runs: readonly endpointEndDetectors.BrokenRun[]): void {
+  noteCrashed(endpoint: serving.Endpoint, runs: readonly crashDetectors.BrokenRun[]): void {
     const now = performance.now();
-    const life = lifeOf(endpoint);
+    const incarnation = incarnationOf(endpoint);
     for (const { fingerprints, brokeAt } of runs) {
       for (const fingerprint of [fingerprints.content, fingerprints.ofCaller]) {
-        if (this.#observed.size >= MOST_OBSERVED) this.#observed.clear();
+        if (this.#observed.size >= MAX_OBSERVED) this.#observed.clear();
         this.#observed.add(fingerprint);
-        this.table.noteEnd(fingerprint, life, brokeAt, now);
+        this.table.noteEnd(fingerprint, incarnation, brokeAt, now);
       }
     }
   }
 
   /** @param endpoint - an endpoint that is listed */
   noteListed(endpoint: serving.Endpoint): void {
-    this.#listed.set(lifeOf(endpoint), endpoint.id);
+    this.#listed.set(incarnationOf(endpoint), endpoint.id);
   }
 
-  /** @param endpointId - an endpoint that is gone, or a life of it */
+  /** @param endpointId - an endpoint that is gone or has restarted */
   forget(endpointId: string): void {
-    for (const [life, id] of this.#listed) if (id === endpointId) this.#listed.delete(life);
+    for (const [incarnation, id] of this.#listed) if (id === endpointId) this.#listed.delete(incarnation);
   }
 
   #reject(
@@ -120,32 +122,32 @@
     fingerprint: string,
     suspicion: serving.Suspicion,
     now: number,
-  ): neverthrow.Result<boolean, sendChoosers.NoSend> {
+  ): neverthrow.Result<boolean, sendChoosers.SendRejection> {
     const isQuarantined = suspicion === serving.Suspicion.Quarantined;
     const rejectedForMs = Math.round(this.table.rejectedForMs(fingerprint, now));
     this.#parts.log.info("suspect-rejected", { id: served.id, fingerprint, suspicion, rejectedForMs });
-    if (isQuarantined) return neverthrow.err({ reason: "quarantined", returnAfterMs: rejectedForMs });
+    if (isQuarantined) return neverthrow.err({ reason: "quarantined", retryAfterMs: rejectedForMs });
     return neverthrow.err({ reason: "awaiting-trial" });
   }
 
-  /** A life that has answered this daemon since cannot have ended then, whoever says so. */
-  #isRefuted(life: number, endedAt: number): boolean {
-    const endpointId = this.#listed.get(life);
-    return endpointId !== undefined && this.#parts.heardAt(endpointId) > endedAt + REFUTED_AFTER_MS;
+  /** An incarnation that has sent data to this daemon since can't have crashed then, whoever reports it. */
+  #isRefuted(incarnation: number, crashedAt: number): boolean {
+    const endpointId = this.#listed.get(incarnation);
+    return endpointId !== undefined && this.#parts.heardAt(endpointId) > crashedAt + REFUTED_AFTER_MS;
   }
 
-  #onChange(fingerprint: string, suspicion: serving.Suspicion, ends: number): void {
+  #onChange(fingerprint: string, suspicion: serving.Suspicion, crashes: number): void {
     const isQuarantined = suspicion === serving.Suspicion.Quarantined;
     const isEscalated = isQuarantined || suspicion === serving.Suspicion.Isolated;
-    if (isEscalated) this.#parts.log.warn("suspect", { fingerprint, suspicion, ends });
-    else this.#parts.log.info("suspect", { fingerprint, suspicion, ends });
+    if (isEscalated) this.#parts.log.warn("suspect", { fingerprint, suspicion, ends: crashes });
+    else this.#parts.log.info("suspect", { fingerprint, suspicion, ends: crashes });
     const isObserved = this.#observed.has(fingerprint);
     if (isEscalated && isObserved) this.#parts.onEscalated();
     if (isQuarantined && isObserved) this.#parts.onQuarantined(fingerprint);
   }
 }
 
-/** Names one life of one endpoint in few bytes, alike at all daemons. */
-function lifeOf({ id, bornAt }: serving.Endpoint): number {
+/** Identifies an incarnation of an endpoint by a short hash that is the same at all daemons. */
+function incarnationOf({ id, bornAt }: serving.Endpoint): number {
   return common.hash32(`${id}/${bornAt ?? ""}`);
 }
--- a/packages/gateway/tests/endpointCrashDetector.test.ts
+++ b/packages/gateway/tests/endpointCrashDetector.test.ts
@@ -3,31 +3,31 @@
 import * as uvu from "uvu";
 import * as assert from "uvu/assert";
 import * as decisionLogs from "../src/decisionLog.js";
-import * as endpointEndDetectors from "../src/endpointCrashDetector.js";
+import * as crashDetectors from "../src/endpointCrashDetector.js";
 
 const FINGERPRINTS: serving.Fingerprints = { content: "c1", ofCaller: "o1" };
 
-/** Time in which an endpoint has been looked at, in milliseconds. */
-const LOOKED_MS = 150;
+/** Time within which a check of an endpoint has finished, in milliseconds. */
+const CHECKED_MS = 150;
 
 const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
-interface Stand {
-  readonly ends: endpointEndDetectors.EndpointCrashDetector;
-  readonly ended: [id: string, runs: number][];
+interface Fixture {
+  readonly detector: crashDetectors.EndpointCrashDetector;
+  readonly crashed: [id: string, runs: number][];
   readonly lines: string[];
 }
 
-function stand(options: { readonly isLeaving?: boolean; readonly hasLiveConnection?: boolean } = {}): Stand {
-  const ended: [string, number][] = [];
+function createFixture(options: { readonly isLeaving?: boolean; readonly hasLiveConnection?: boolean } = {}): Fixture {
+  const crashed: [string, number][] = [];
   const lines: string[] = [];
-  const ends = new endpointEndDetectors.EndpointCrashDetector({
+  const detector = new crashDetectors.EndpointCrashDetector({
     log: new decisionLogs.DecisionLog("vm-1", "info", { writableLength: 0, write: (line) => lines.push(line) > 0 }),
     hasLiveConnection: () => options.hasLiveConnection ?? false,
     isLeaving: () => options.isLeaving ?? false,
-    onCrashed: ({ id }, runs) => ended.push([id, runs.length]),
+    onCrashed: ({ id }, runs) => crashed.push([id, runs.length]),
   });
-  return { ends, ended, lines };
+  return { detector, crashed, lines };
 }
 
 function endpointAt(port: number): serving.Endpoint {
@@ -50,41 +50,41 @@
   return port;
 }
 
-const run = (): endpointEndDetectors.BrokenRun => ({ fingerprints: FINGERPRINTS, brokeAt: performance.now() });
+const run = (): crashDetectors.BrokenRun => ({ fingerprints: FINGERPRINTS, brokeAt: performance.now() });
 
-const suite = uvu.suite("whether an endpoint has ended");
+const suite = uvu.suite("endpoint crash detector");
 
-suite("one that refuses connections after some broke has, once for all of them", async () => {
-  const { ends, ended, lines } = stand();
+suite("an endpoint that refuses connections has crashed, reported once for all broken runs", async () => {
+  const { detector, crashed, lines } = createFixture();
   const endpoint = endpointAt(await closedPort());
-  for (let index = 0; index < 3; index++) ends.noteBroken(endpoint, run());
-  await pause(LOOKED_MS);
-  assert.equal(ended, [["e1", 3]]);
+  for (let index = 0; index < 3; index++) detector.noteBroken(endpoint, run());
+  await pause(CHECKED_MS);
+  assert.equal(crashed, [["e1", 3]]);
   assert.is(lines.filter((line) => line.includes("event=endpoint-ended")).length, 1);
 });
 
-// Guards against taking an endpoint that loses answers, or resets connections over its limit, for one that has ended.
-suite("one that accepts connections has not, whatever it does with them", async () => {
-  const { ends, ended } = stand();
+// Guards against reporting an endpoint that loses answers, or resets connections over its limit, as crashed.
+suite("an endpoint that accepts connections has not crashed, even if it closes them", async () => {
+  const { detector, crashed } = createFixture();
   const server = await listening();
-  ends.noteBroken(endpointAt(portOf(server)), run());
-  await pause(LOOKED_MS);
+  detector.noteBroken(endpointAt(portOf(server)), run());
+  await pause(CHECKED_MS);
   server.close();
-  assert.equal(ended, []);
+  assert.equal(crashed, []);
 });
 
-suite("one with an open connection has not, and no further connection is made", async () => {
-  const { ends, ended } = stand({ hasLiveConnection: true });
-  ends.noteBroken(endpointAt(await closedPort()), run());
-  await pause(LOOKED_MS);
-  assert.equal(ended, []);
+suite("an endpoint with an open connection has not crashed, and no new connection is made", async () => {
+  const { detector, crashed } = createFixture({ hasLiveConnection: true });
+  detector.noteBroken(endpointAt(await closedPort()), run());
+  await pause(CHECKED_MS);
+  assert.equal(crashed, []);
 });
 
-suite("one that leaves as planned has not crashed", async () => {
-  const { ends, ended } = stand({ isLeaving: true });
-  ends.noteBroken(endpointAt(await closedPort()), run());
-  await pause(LOOKED_MS);
-  assert.equal(ended, []);
+suite("an endpoint that is leaving has not crashed", async () => {
+  const { detector, crashed } = createFixture({ isLeaving: true });
+  detector.noteBroken(endpointAt(await closedPort()), run());
+  await pause(CHECKED_MS);
+  assert.equal(crashed, []);
 });
 
 suite.run();
