--- a/packages/gateway/src/endpointClient.ts
+++ b/packages/gateway/src/endpointClient.ts
@@ -25,8 +25,8 @@
    * @param endpointId - the endpoint
    * @returns instant at which data was last received from it, in milliseconds
    */
-  heardAt(endpointId: string): number {
-    return this.#pools.get(endpointId)?.heardAt ?? 0;
+  lastReceivedAt(endpointId: string): number {
+    return this.#pools.get(endpointId)?.lastReceivedAt ?? 0;
   }
 
   /**
--- a/packages/gateway/src/endpointConnectionPool.ts
+++ b/packages/gateway/src/endpointConnectionPool.ts
@@ -69,7 +69,7 @@
   readonly #idle: PooledConnection[] = [];
   readonly #busy = new Set<PooledConnection>();
   /** Instant at which data was last received from the endpoint, in milliseconds. */
-  heardAt = 0;
+  lastReceivedAt = 0;
 
   readonly #isLate: () => boolean;
 
--- a/packages/gateway/src/endpointSend.ts
+++ b/packages/gateway/src/endpointSend.ts
@@ -124,7 +124,7 @@
     if (this.#over) return;
     this.#over = true;
     this.#noteHeard();
-    this.#parts.pool.release(this.#connection, this.#parts.pool.heardAt);
+    this.#parts.pool.release(this.#connection, this.#parts.pool.lastReceivedAt);
     this.#parts.receiver.onEnd();
   }
 
@@ -134,7 +134,7 @@
   }
 
   #noteHeard(): void {
-    this.#parts.pool.heardAt = performance.now();
+    this.#parts.pool.lastReceivedAt = performance.now();
   }
 
   #discard(): void {
--- a/packages/gateway/src/silenceWatch.ts
+++ b/packages/gateway/src/silenceWatch.ts
@@ -65,6 +65,6 @@
   #endpointHeardAt(): number {
     const { client, view } = this.#context;
     const { endpoint } = this.#planned;
-    return view.directory.isSameLife(endpoint) ? client.heardAt(endpoint.id) : 0;
+    return view.directory.isSameLife(endpoint) ? client.lastReceivedAt(endpoint.id) : 0;
   }
 }
--- a/packages/gateway/src/suspects/crashProtection.ts
+++ b/packages/gateway/src/suspects/crashProtection.ts
@@ -31,7 +31,7 @@
     const { store, prefix, log, client, directory, onCrashed, onEscalated } = parts;
     this.gate = new suspectGates.SuspectGate({
       log,
-      heardAt: (endpointId) => client.heardAt(endpointId),
+      lastReceivedAt: (endpointId) => client.lastReceivedAt(endpointId),
       onEscalated,
       onQuarantined: (fingerprint) => this.#store.keep(fingerprint),
     });
--- a/packages/gateway/src/suspects/suspectGate.ts
+++ b/packages/gateway/src/suspects/suspectGate.ts
@@ -16,7 +16,7 @@
 export interface SuspectGateParts {
   readonly log: decisionLogs.DecisionLog;
   /** @returns instant at which data was last received from an endpoint, in milliseconds */
-  readonly heardAt: (endpointId: string) => number;
+  readonly lastReceivedAt: (endpointId: string) => number;
   /** Called when a request is isolated or rejected from now on, to report it to the peers at once. */
   readonly onEscalated: () => void;
   /** Called with a request that is rejected from now on, if this daemon observed a crash under it. */
@@ -133,7 +133,7 @@
   /** An incarnation that has sent data to this daemon since can't have crashed then, whoever reports it. */
   #isRefuted(incarnation: number, crashedAt: number): boolean {
     const endpointId = this.#listed.get(incarnation);
-    return endpointId !== undefined && this.#parts.heardAt(endpointId) > crashedAt + REFUTED_AFTER_MS;
+    return endpointId !== undefined && this.#parts.lastReceivedAt(endpointId) > crashedAt + REFUTED_AFTER_MS;
   }
 
   #onChange(fingerprint: string, suspicion: serving.Suspicion, crashes: number): void {
--- a/packages/gateway/tests/helpers/exchangeStand.ts
+++ b/packages/gateway/tests/helpers/exchangeStand.ts
@@ -205,7 +205,7 @@
       }),
       suspects: new suspectGates.SuspectGate({
         log: new decisionLogs.DecisionLog("vm-1", "info", sink),
-        heardAt: () => 0,
+        lastReceivedAt: () => 0,
         onEscalated: () => undefined,
         onQuarantined: () => undefined,
       }),
