--- a/packages/gateway/src/endpointClient.ts
+++ b/packages/gateway/src/endpointClient.ts
@@ -10,15 +10,15 @@
 export class EndpointClient {
   readonly #pools = new Map<string, connectionPools.EndpointConnectionPool>();
   readonly #count: (name: string) => void;
-  readonly #isLate: () => boolean;
+  readonly #isLoopLagging: () => boolean;
 
   /**
    * @param count - counts an event by its name
-   * @param isLate - whether the event loop lags, so that the socket events it processes may be old
+   * @param isLoopLagging - whether the event loop lags, so that the socket events it processes may be old
    */
-  constructor(count: (name: string) => void, isLate: () => boolean) {
+  constructor(count: (name: string) => void, isLoopLagging: () => boolean) {
     this.#count = count;
-    this.#isLate = isLate;
+    this.#isLoopLagging = isLoopLagging;
   }
 
   /**
@@ -70,7 +70,7 @@
       pool: this.#poolOf(endpoint),
       request,
       receiver,
-      isLate: this.#isLate,
+      isLoopLagging: this.#isLoopLagging,
       onBroken: () => this.#countBroken(),
     };
     return new endpointSends.EndpointSend(parts);
@@ -99,7 +99,7 @@
       pool = undefined;
     }
     if (pool === undefined) {
-      pool = new connectionPools.EndpointConnectionPool(endpoint.address, this.#isLate);
+      pool = new connectionPools.EndpointConnectionPool(endpoint.address, this.#isLoopLagging);
       this.#pools.set(endpoint.id, pool);
     }
     return pool;
--- a/packages/gateway/src/endpointConnectionPool.ts
+++ b/packages/gateway/src/endpointConnectionPool.ts
@@ -26,7 +26,7 @@
  * HTTP client takes a reset for the regular end of such an answer, so the socket's error is recorded here before the
  * client handles it.
  */
-function createConnection(origin: string, isLate: () => boolean): PooledConnection {
+function createConnection(origin: string, isLoopLagging: () => boolean): PooledConnection {
   const connection: PooledConnection = {
     socket: undefined,
     usedAt: 0,
@@ -54,7 +54,7 @@
           };
           // The client sends the request as soon as it is connected. A lagging event loop may process that before the
           // caller's disconnect, so the pending socket events are processed first.
-          if (isLate()) new socketTurns.WaitingStep(reportConnected);
+          if (isLoopLagging()) new socketTurns.WaitingStep(reportConnected);
           else reportConnected();
         });
       },
@@ -71,17 +71,17 @@
   /** Instant at which data was last received from the endpoint, in milliseconds. */
   lastReceivedAt = 0;
 
-  readonly #isLate: () => boolean;
+  readonly #isLoopLagging: () => boolean;
 
   /**
    * @param address - the endpoint's address, IP:PORT
-   * @param isLate - whether the event loop lags, so that the socket events it processes may be old
+   * @param isLoopLagging - whether the event loop lags, so that the socket events it processes may be old
    */
   constructor(
     readonly address: string,
-    isLate: () => boolean,
+    isLoopLagging: () => boolean,
   ) {
-    this.#isLate = isLate;
+    this.#isLoopLagging = isLoopLagging;
     this.#origin = `http://${address}`;
   }
 
@@ -107,7 +107,7 @@
 
   /** @returns a connection for one request, to be released or discarded */
   acquire(): PooledConnection {
-    const connection = this.#idle.pop() ?? createConnection(this.#origin, this.#isLate);
+    const connection = this.#idle.pop() ?? createConnection(this.#origin, this.#isLoopLagging);
     this.#busy.add(connection);
     return connection;
   }
--- a/packages/gateway/src/endpointSend.ts
+++ b/packages/gateway/src/endpointSend.ts
@@ -10,7 +10,7 @@
   readonly request: sendings.OutgoingRequest;
   readonly receiver: sendings.AnswerReceiver;
   /** Whether the event loop lags, so that the socket events it processes may be old. */
-  readonly isLate: () => boolean;
+  readonly isLoopLagging: () => boolean;
   /** Called when its connection breaks. */
   readonly onBroken: () => void;
 }
@@ -41,7 +41,7 @@
     this.#parts = parts;
     this.#connection = parts.pool.acquire();
     const isForCaller = parts.request.sendBefore !== undefined;
-    if (!isForCaller || !parts.isLate()) this.#dispatch();
+    if (!isForCaller || !parts.isLoopLagging()) this.#dispatch();
     else this.#deferredDispatch = new socketTurns.WaitingStep(() => this.#dispatch());
   }
 
@@ -106,7 +106,7 @@
 
   #onHead(status: number, headers: sendings.AnswerHeaders): void {
     if (this.#over || status < MIN_FINAL_STATUS) return;
-    this.#noteHeard();
+    this.#noteReceived();
     if (!this.#parts.receiver.onHead(status, headers)) {
       this.#break(serving.SendFate.Unknown, "the answer belongs to another request");
     }
@@ -114,7 +114,7 @@
 
   #onData(chunk: Buffer): void {
     if (this.#over) return;
-    this.#noteHeard();
+    this.#noteReceived();
     this.#parts.receiver.onData(chunk);
   }
 
@@ -123,7 +123,7 @@
       this.#break(serving.SendFate.Unknown, "the connection was reset before the answer was complete");
     if (this.#over) return;
     this.#over = true;
-    this.#noteHeard();
+    this.#noteReceived();
     this.#parts.pool.release(this.#connection, this.#parts.pool.lastReceivedAt);
     this.#parts.receiver.onEnd();
   }
@@ -133,7 +133,7 @@
     this.#break(this.wasDispatched ? serving.SendFate.Unknown : serving.SendFate.NotSent, error.message);
   }
 
-  #noteHeard(): void {
+  #noteReceived(): void {
     this.#parts.pool.lastReceivedAt = performance.now();
   }
 
--- a/packages/gateway/src/ports.ts
+++ b/packages/gateway/src/ports.ts
@@ -174,6 +174,7 @@
 /** An order to take another role. */
 export interface RoleOrder {
   readonly role: serving.EngineRole;
+  /** VM of the daemon that holds the order authority. */
   readonly holder: string;
   /** Fencing token: an engine that has seen a higher one refuses the order. */
   readonly token: number;
--- a/packages/gateway/src/silenceWatch.ts
+++ b/packages/gateway/src/silenceWatch.ts
@@ -55,14 +55,14 @@
   #check(onSilent: (silentMs: number) => void): void {
     if (this.#stopped) return;
     const now = performance.now();
-    const ownAt = Math.max(this.#sentAt, this.#served.progress.lastEventAt);
-    const heardAt = Math.max(ownAt, this.#endpointHeardAt());
-    const silent = now - heardAt > this.#limits.endpointMs || now - ownAt > this.#limits.requestMs;
-    if (silent) onSilent(now - ownAt);
+    const lastEventAt = Math.max(this.#sentAt, this.#served.progress.lastEventAt);
+    const lastReceivedAt = Math.max(lastEventAt, this.#endpointLastReceivedAt());
+    const silent = now - lastReceivedAt > this.#limits.endpointMs || now - lastEventAt > this.#limits.requestMs;
+    if (silent) onSilent(now - lastEventAt);
   }
 
   /** Ignores what a later incarnation of the endpoint sends: it says nothing about the one that got this request. */
-  #endpointHeardAt(): number {
+  #endpointLastReceivedAt(): number {
     const { client, view } = this.#context;
     const { endpoint } = this.#planned;
     return view.directory.isSameLife(endpoint) ? client.lastReceivedAt(endpoint.id) : 0;
