--- a/packages/gateway/src/answerBody.ts
+++ b/packages/gateway/src/answerBody.ts
@@ -45,10 +45,10 @@
   onEnd(): void {
     const { active, answer, end, feedback, handover, results, served } = this.#send;
     const { status, headers } = this.#head;
-    handover.noteTaken();
+    handover.markTaken();
     const failed = status >= SERVER_ERRORS_FROM;
     const now = performance.now();
-    feedback.judge(active, failed ? serving.SendResult.Failed : serving.SendResult.Good);
+    feedback.recordResult(active, failed ? serving.SendResult.Failed : serving.SendResult.Good);
     if (answer.state === callerAnswers.AnswerState.Streaming) {
       const detail = `status ${status} to a resumed stream`;
       results.failed(active, serving.SendOutcome.Unknown, detail);
@@ -93,23 +93,23 @@
       results.failed(active, serving.SendOutcome.Unknown, "the stream ended inside an event");
       return;
     }
-    feedback.judge(active, serving.SendResult.Good);
+    feedback.recordResult(active, serving.SendResult.Good);
     feedback.learnPause(active);
     end.endStream();
   }
 
   #onEvent(event: eventSplitters.StreamEvent): void {
     const { active, answer, context, feedback, handover, served } = this.#send;
-    if (active.endRead()) feedback.learnTime(active);
-    else if (active.noteBegun()) feedback.learnHandover(active);
+    if (active.finishPrefill()) feedback.learnPrefillTime(active);
+    else if (active.markFirstEvent()) feedback.learnHandover(active);
     const now = performance.now();
     if (!served.progress.hasBegun) {
       context.metrics.record(metricsModule.Duration.FirstEvent, now - served.caller.arrivedAt);
     }
     served.progress.recordEvent(event.id, now);
     served.noteMayHaveRun();
-    handover.noteTaken();
+    handover.markTaken();
     answer.beginStream(this.#head.status, this.#head.headers);
-    if (!answer.write(event.bytes)) active.holdBack(answer);
+    if (!answer.write(event.bytes)) active.applyBackpressure(answer);
   }
 }
--- /dev/null
+++ b/packages/gateway/src/endpointCrashDetector.ts
@@ -0,0 +1,125 @@
+import * as net from "node:net";
+import type * as serving from "@camphorcourse/serving";
+import * as socketAddresses from "./address.js";
+import type * as decisionLogs from "./decisionLog.js";
+
+/** Delay between a broken connection and the check of its endpoint, in milliseconds: other connections break with it. */
+const CHECK_DELAY_MS = 10;
+
+/** Time for a connection to be established, in milliseconds; a healthy endpoint takes a few. */
+const CONNECT_TIMEOUT_MS = 350;
+
+/** Maximum number of broken runs of one endpoint that are kept until its check has finished. */
+const MAX_RUNS = 256;
+
+/** Maximum number of fingerprints in a log line. */
+const MAX_LOGGED = 8;
+
+/** Time for which an endpoint counts as crashed in milliseconds: its entry expires within it, or it restarts. */
+const CRASHED_MS = 5_000;
+
+/** Maximum number of endpoints that are remembered as crashed. */
+const MAX_CRASHED = 1_024;
+
+const REFUSED = "ECONNREFUSED";
+
+/** A run of a request whose connection broke. */
+export interface BrokenRun {
+  readonly fingerprints: serving.Fingerprints;
+  /** Instant at which it broke, in milliseconds. */
+  readonly brokeAt: number;
+}
+
+/** What detecting crashed endpoints needs. */
+export interface EndpointCrashDetectorParts {
+  readonly log: decisionLogs.DecisionLog;
+  /** @returns whether an idle connection to the endpoint is open */
+  readonly hasLiveConnection: (endpointId: string) => boolean;
+  /** @returns whether the endpoint is expected to end, because it is leaving or gone */
+  readonly isLeaving: (endpoint: serving.Endpoint) => boolean;
+  /** Called with an endpoint that has crashed and what was running there for this daemon's callers. */
+  readonly onCrashed: (endpoint: serving.Endpoint, runs: readonly BrokenRun[]) => void;
+}
+
+interface Check {
+  readonly endpoint: serving.Endpoint;
+  readonly runs: BrokenRun[];
+}
+
+/**
+ * Distinguishes an endpoint that has crashed from one that lost an answer. Both break the connection in the same way,
+ * but a crashed endpoint refuses new connections. An attempt to connect that times out proves neither.
+ */
+export class EndpointCrashDetector {
+  readonly #parts: EndpointCrashDetectorParts;
+  readonly #checks = new Map<string, Check>();
+  /** Start of each incarnation that has crashed, by endpoint id, and the instant until which it counts as crashed. */
+  readonly #crashed = new Map<string, { readonly bornAt: number | undefined; readonly until: number }>();
+
+  /** @param parts - what it needs */
+  constructor(parts: EndpointCrashDetectorParts) {
+    this.#parts = parts;
+  }
+
+  /**
+   * Schedules a check of an endpoint, one for all its connections that break within the delay.
+   *
+   * @param endpoint - an endpoint to which a connection has broken
+   * @param run - what was running on it
+   */
+  noteBroken(endpoint: serving.Endpoint, run: BrokenRun): void {
+    const check = this.#checks.get(endpoint.id);
+    if (check !== undefined) {
+      if (check.runs.length < MAX_RUNS) check.runs.push(run);
+      return;
+    }
+    this.#checks.set(endpoint.id, { endpoint, runs: [run] });
+    setTimeout(() => void this.#check(endpoint), CHECK_DELAY_MS);
+  }
+
+  /**
+   * @param endpoint - an endpoint that is listed
+   * @param now - current instant in milliseconds
+   * @returns whether this incarnation of it was recently found crashed, which may be before its entry expires
+   */
+  hasCrashed(endpoint: serving.Endpoint, now: number): boolean {
+    const crash = this.#crashed.get(endpoint.id);
+    if (crash === undefined) return false;
+    if (crash.until > now && crash.bornAt === endpoint.bornAt) return true;
+    this.#crashed.delete(endpoint.id);
+    return false;
+  }
+
+  async #check(endpoint: serving.Endpoint): Promise<void> {
+    const isAlive = this.#parts.hasLiveConnection(endpoint.id);
+    const hasCrashed = !isAlive && !this.#parts.isLeaving(endpoint) && (await refusesConnections(endpoint.address));
+    const runs = this.#checks.get(endpoint.id)?.runs ?? [];
+    this.#checks.delete(endpoint.id);
+    if (!hasCrashed) return;
+    if (this.#crashed.size >= MAX_CRASHED) this.#crashed.clear();
+    this.#crashed.set(endpoint.id, { bornAt: endpoint.bornAt, until: performance.now() + CRASHED_MS });
+    const fingerprints = runs.slice(0, MAX_LOGGED).map((run) => run.fingerprints.content);
+    this.#parts.log.warn("endpoint-ended", {
+      endpoint: endpoint.id,
+      service: endpoint.service,
+      address: endpoint.address,
+      runs: runs.length,
+      fingerprints: fingerprints.join(" "),
+    });
+    this.#parts.onCrashed(endpoint, runs);
+  }
+}
+
+/** Whether nothing listens at an address. A connection that is accepted and then reset may have exceeded a limit. */
+function refusesConnections(address: string): Promise<boolean> {
+  return new Promise((resolve) => {
+    const socket = net.connect({ ...socketAddresses.hostAndPort(address) });
+    const finish = (refused: boolean): void => {
+      socket.destroy();
+      resolve(refused);
+    };
+    socket.setTimeout(CONNECT_TIMEOUT_MS, () => finish(false));
+    socket.once("connect", () => finish(false));
+    socket.once("error", (error: NodeJS.ErrnoException) => finish(error.code === REFUSED));
+  });
+}
--- a/packages/gateway/src/exchange.ts
+++ b/packages/gateway/src/exchange.ts
@@ -2,11 +2,11 @@
 import type * as callerAnswers from "./callerAnswer.js";
 import type * as callerRequests from "./callerRequest.js";
 import type * as contexts from "./context.js";
-import * as endpointLessons from "./endpointLessons.js";
-import * as promptMemories from "./promptMemory.js";
+import * as endpointFeedbacks from "./endpointFeedback.js";
+import * as prefillHandovers from "./prefillHandover.js";
 import * as requestEnds from "./requestEnd.js";
 import * as sendChoosers from "./sendChooser.js";
-import * as sendCourses from "./sendCourse.js";
+import * as requestForwarders from "./requestForwarder.js";
 import * as servedRequests from "./servedRequest.js";
 
 const BAD_GATEWAY = 502;
@@ -15,9 +15,9 @@
 export class Exchange {
   readonly #context: contexts.ServingContext;
   readonly #served: servedRequests.ServedRequest;
-  readonly #feedback: endpointLessons.EndpointLessons;
+  readonly #feedback: endpointFeedbacks.EndpointFeedback;
   readonly #end: requestEnds.RequestEnd;
-  readonly #course: sendCourses.SendCourse;
+  readonly #course: requestForwarders.RequestForwarder;
   #deadlineTimer: NodeJS.Timeout | undefined;
 
   /**
@@ -36,12 +36,12 @@
   ) {
     this.#context = context;
     this.#served = new servedRequests.ServedRequest(context, request, route, body);
-    this.#feedback = new endpointLessons.EndpointLessons(context, this.#served);
+    this.#feedback = new endpointFeedbacks.EndpointFeedback(context, this.#served);
     this.#end = new requestEnds.RequestEnd(context, this.#served, answer, () => this.#onEnded());
-    this.#course = new sendCourses.SendCourse({
+    this.#course = new requestForwarders.RequestForwarder({
       context,
       served: this.#served,
-      handover: new promptMemories.PromptMemory(context),
+      handover: new prefillHandovers.PrefillHandover(context),
       feedback: this.#feedback,
       answer,
       end: this.#end,
@@ -90,14 +90,14 @@
     if (this.#end.over) return;
     const { active } = this.#course;
     const mayHaveRun = this.#mayHaveRun();
-    if (active !== undefined) this.#feedback.judge(active, serving.SendResult.Silent);
+    if (active !== undefined) this.#feedback.recordResult(active, serving.SendResult.Silent);
     this.#end.timeOut(mayHaveRun);
   }
 
   /** @returns whether a send may have run the request, including the one under way */
   #mayHaveRun(): boolean {
     const { active } = this.#course;
-    const mayBeRunning = active?.stage === sendChoosers.Stage.Answering && active.hasLeft;
+    const mayBeRunning = active?.stage === sendChoosers.Stage.Answering && active.wasDispatched;
     return this.#served.mayHaveRun || mayBeRunning;
   }
 
--- a/packages/gateway/src/exchangeParts.ts
+++ b/packages/gateway/src/exchangeParts.ts
@@ -2,8 +2,8 @@
 import type * as activeSends from "./activeSend.js";
 import type * as callerAnswers from "./callerAnswer.js";
 import type * as contexts from "./context.js";
-import type * as endpointLessons from "./endpointLessons.js";
-import type * as promptMemories from "./promptMemory.js";
+import type * as endpointFeedbacks from "./endpointFeedback.js";
+import type * as prefillHandovers from "./prefillHandover.js";
 import type * as requestEnds from "./requestEnd.js";
 import type * as servedRequests from "./servedRequest.js";
 
@@ -11,8 +11,8 @@
 export interface ExchangeParts {
   readonly context: contexts.ServingContext;
   readonly served: servedRequests.ServedRequest;
-  readonly handover: promptMemories.PromptMemory;
-  readonly feedback: endpointLessons.EndpointLessons;
+  readonly handover: prefillHandovers.PrefillHandover;
+  readonly feedback: endpointFeedbacks.EndpointFeedback;
   readonly answer: callerAnswers.CallerAnswer;
   readonly end: requestEnds.RequestEnd;
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -112,10 +112,10 @@
       log: this.#log,
       client,
       directory: this.#view.directory,
-      onEnded: () => this.#metrics.count("endpoints_ended"),
+      onCrashed: () => this.#metrics.count("endpoints_ended"),
       onEscalated: () => this.#peers.sayNow(),
     });
-    const { endDetector, gate: suspects } = this.#protection;
+    const { crashDetector: endDetector, gate: suspects } = this.#protection;
     this.#context = {
       settings,
       log: this.#log,
@@ -128,7 +128,7 @@
       demand: new serving.Demand(),
       sizeShares: new serving.AcceptanceTracker(),
       client,
-      endDetector,
+      crashDetector: endDetector,
       suspects,
       budgets: new contexts.RetryBudgets(settings.retryBounds, performance.now()),
       random,
@@ -142,7 +142,7 @@
       log: this.#log,
       onEndpoint: (update) => this.#onEndpoint(update),
       onSuspect: (record) => suspects.table.merge(record, performance.now()),
-      onRoleChange: (service, role, agoMs) => this.#roles.changed(service, role, agoMs),
+      onRoleChange: (service, role, agoMs) => this.#roles.noteRoleChange(service, role, agoMs),
       onConfiguration: () => {
         this.#listener.applyLimits();
         this.#peers.noteConfiguration();
@@ -200,7 +200,7 @@
       authority: this.#authority,
       store: dependencies.store,
       changeKey: dependencies.layout.roleChangeKey,
-      readingLoad: () =>
+      prefillLoad: () =>
         this.#sumOverPeers((peer) => peer.readingLoad) + this.#context.demand.readingLoad(performance.now()),
       eventsPerMs: () =>
         this.#sumOverPeers((peer) => peer.eventsPerMs) + this.#context.demand.eventsPerMs(performance.now()),
--- a/packages/gateway/src/requestEnd.ts
+++ b/packages/gateway/src/requestEnd.ts
@@ -73,14 +73,14 @@
   forward(status: number, headers: sendings.AnswerHeaders, body: Buffer, now: number): void {
     this.#context.metrics.record(metricsModule.Duration.Request, now - this.#served.caller.arrivedAt);
     this.#answer.forward(status, headers, body);
-    this.#context.suspects.noteCleanRun(this.#served);
+    this.#context.suspects.noteSuccess(this.#served);
     this.#finish("answered", status);
   }
 
   /** Ends the caller's stream as complete. */
   endStream(): void {
     this.#answer.endStream();
-    this.#context.suspects.noteCleanRun(this.#served);
+    this.#context.suspects.noteSuccess(this.#served);
     this.#finish("answered", HTTP_OK);
   }
 
--- a/packages/gateway/src/sendCourse.ts
+++ b/packages/gateway/src/requestForwarder.ts
@@ -3,15 +3,15 @@
 import * as answerReceivers from "./answerReceiver.js";
 import type * as sendings from "./sending.js";
 import type * as exchangeParts from "./exchangeParts.js";
-import * as promptReceivers from "./promptReceiver.js";
+import * as prefillReceivers from "./prefillReceiver.js";
 import * as sendChoosers from "./sendChooser.js";
 
 const NOT_FOUND = 404;
 const BAD_GATEWAY = 502;
 const GATEWAY_TIMEOUT = 504;
 
-/** The sends of one request, one after the other, until one gives its final answer. */
-export class SendCourse implements exchangeParts.SendResultHandler {
+/** Forwards one request to endpoints, one send after the other, until one gives its final answer. */
+export class RequestForwarder implements exchangeParts.SendResultHandler {
   readonly #parts: exchangeParts.ExchangeParts;
   readonly #chooser: sendChoosers.SendChooser;
   #active: activeSends.ActiveSend | undefined;
@@ -22,7 +22,7 @@
     this.#chooser = new sendChoosers.SendChooser(parts.context, parts.served);
   }
 
-  /** @returns the send that is under way */
+  /** @returns the send that is in flight */
   get active(): activeSends.ActiveSend | undefined {
     return this.#active;
   }
@@ -30,48 +30,48 @@
   /**
    * {@inheritDoc exchangeParts.SendResults.sendNext}
    *
-   * A fault in a decision costs this request only: uncaught, it would end the daemon with all its callers, or leave
-   * this one without an answer where the HTTP library catches it.
+   * An exception in a decision fails this request only. Uncaught, it would end the daemon with all its callers, or leave
+   * this caller without an answer if the HTTP library caught it.
    */
   sendNext(): void {
     const { context, end, served } = this.#parts;
     try {
-      this.#goOn();
+      this.#chooseAndSend();
     } catch (error) {
       const { message, stack } = error as Error;
       context.log.warn("request-fault", { id: served.id, detail: message, stack });
-      if (this.#active?.hasLeft === true && this.#active.stage === sendChoosers.Stage.Answering)
+      if (this.#active?.wasDispatched === true && this.#active.stage === sendChoosers.Stage.Answering)
         served.noteMayHaveRun();
       end.reject("request-fault");
     }
   }
 
-  #goOn(): void {
+  #chooseAndSend(): void {
     const { end, handover, served } = this.#parts;
     if (end.over) return;
-    // A loop that has fallen behind hears an endpoint before the deadline's own timer: sent on, the request would run
-    // for a caller that has gone.
+    // A lagging event loop may process an endpoint's result before the deadline timer. Sent again, the request would run
+    // for a caller that no longer waits.
     if (served.remainingMs <= 0) {
       end.timeOut(served.mayHaveRun);
       return;
     }
     if (!served.followConfiguration()) {
-      end.fail(NOT_FOUND, "route-removed", "no route leads there any more");
+      end.fail(NOT_FOUND, "route-removed", "the request's route was removed from the configuration");
       return;
     }
-    const lostReader = handover.dropLost();
-    if (lostReader !== undefined) {
-      this.#readAgain(lostReader);
+    const restartedEngine = handover.dropIfLost();
+    if (restartedEngine !== undefined) {
+      this.#prefillAgain(restartedEngine);
       return;
     }
     const admitted = this.#parts.context.suspects.admit(served);
     if (admitted.isErr()) {
-      end.reject(admitted.error.reason, admitted.error.returnAfterMs);
+      end.reject(admitted.error.reason, admitted.error.retryAfterMs);
       return;
     }
     if (admitted.value) handover.free();
-    const choice = admitted.value ? this.#chooser.chooseAlone() : this.#chooser.choose(handover.handedOver?.reader);
-    if (choice.isErr()) end.reject(choice.error.reason, choice.error.returnAfterMs);
+    const choice = admitted.value ? this.#chooser.chooseIsolated() : this.#chooser.choose(handover.prefilled?.engine);
+    if (choice.isErr()) end.reject(choice.error.reason, choice.error.retryAfterMs);
     else this.#dispatch(choice.value);
   }
 
@@ -84,45 +84,45 @@
   }
 
   /** {@inheritDoc exchangeParts.SendResults.failed} */
-  failed(active: activeSends.ActiveSend, fate: serving.SendOutcome, detail: string): void {
+  failed(active: activeSends.ActiveSend, outcome: serving.SendOutcome, detail: string): void {
     const { context, end, feedback, handover, served } = this.#parts;
-    const declined = fate === serving.SendOutcome.Declined;
-    feedback.judge(active, declined ? serving.SendResult.Declined : serving.SendResult.Failed);
-    this.#countFailed(active, fate);
-    if (fate === serving.SendOutcome.Unknown) served.noteMayHaveRun();
+    const declined = outcome === serving.SendOutcome.Declined;
+    feedback.recordResult(active, declined ? serving.SendResult.Declined : serving.SendResult.Failed);
+    this.#countFailed(active, outcome);
+    if (outcome === serving.SendOutcome.Unknown) served.noteMayHaveRun();
     if (declined && active.stage === sendChoosers.Stage.Answering) handover.free();
-    if (fate === serving.SendOutcome.Unknown) handover.noteTaken();
-    const step = served.decideNextStep(fate);
+    if (outcome === serving.SendOutcome.Unknown) handover.markTaken();
+    const step = served.decideNextStep(outcome);
     context.log.info("send-failed", {
       id: served.id,
       endpoint: active.endpoint.id,
-      fate,
+      fate: outcome,
       detail,
       sends: served.sends,
       step,
-      ...active.departure,
+      ...active.dispatchFields,
       tookMs: Math.round(performance.now() - active.sentAt),
     });
     if (step === serving.NextStep.SendAgain) this.sendNext();
-    else if (step === serving.NextStep.Reject) end.reject(`send-${fate}`);
-    else if (step === serving.NextStep.TimedOut) end.fail(GATEWAY_TIMEOUT, "timed-out", "the time is up");
+    else if (step === serving.NextStep.Reject) end.reject(`send-${outcome}`);
+    else if (step === serving.NextStep.TimedOut) end.fail(GATEWAY_TIMEOUT, "timed-out", "the deadline has passed");
     else end.fail(BAD_GATEWAY, "endpoint-failed", "the request may have run and its answer is lost");
   }
 
   /** {@inheritDoc exchangeParts.SendResults.broken} */
-  broken(active: activeSends.ActiveSend, fate: serving.SendOutcome, detail: string): void {
+  broken(active: activeSends.ActiveSend, outcome: serving.SendOutcome, detail: string): void {
     const { context, served } = this.#parts;
-    if (active.hasLeft) {
+    if (active.wasDispatched) {
       served.noteBroken(context.suspects.isSuspected(served));
-      context.endDetector.noteBroken(active.endpoint, {
+      context.crashDetector.noteBroken(active.endpoint, {
         fingerprints: served.fingerprints,
         brokeAt: performance.now(),
       });
     }
-    this.failed(active, fate, detail);
+    this.failed(active, outcome, detail);
   }
 
-  /** The request is over: what runs for it is cancelled. */
+  /** Cancels the send in flight and frees what is kept for the request, which is over. */
   stop(): void {
     const active = this.#active;
     this.#active = undefined;
@@ -141,17 +141,17 @@
       id: served.id,
       endpoint: active.endpoint.id,
       stage: active.stage,
-      ...active.departure,
+      ...active.dispatchFields,
       tookMs: Math.round(performance.now() - active.sentAt),
     });
   }
 
-  /** What the reader kept of the prompt is lost: the prompt is read anew, which counts as a send. */
-  #readAgain(reader: serving.Endpoint): void {
+  /** Starts over with a new prefill, which counts as a send: the engine has lost the KV cache that it kept. */
+  #prefillAgain(engine: serving.Endpoint): void {
     const { context, end, served } = this.#parts;
     served.countSend();
     const step = served.decideNextStep(serving.SendOutcome.Declined);
-    context.log.info("handle-lost", { id: served.id, endpoint: reader.id, step });
+    context.log.info("handle-lost", { id: served.id, endpoint: engine.id, step });
     if (step === serving.NextStep.SendAgain) this.sendNext();
     else end.reject("handle-lost");
   }
@@ -163,7 +163,7 @@
     this.#active = active;
     served.markTried(planned.endpoint.id);
     if (planned.stage === sendChoosers.Stage.Answering) served.countSend();
-    const urgency = planned.plan?.urgency ?? (this.#parts.handover.handedOver === undefined ? undefined : 0);
+    const urgency = planned.plan?.urgency ?? (this.#parts.handover.prefilled === undefined ? undefined : 0);
     const message = this.#message(planned, remainingMs, urgency);
     context.log.info("send", {
       id: served.id,
@@ -179,8 +179,8 @@
       entryRevision: context.view.directory.revision,
       configuration: context.view.configurationRevision,
     });
-    active.begin(message, this.#receiver(active), (silentMs) => {
-      if (this.#active === active) this.#leaveSilent(active, silentMs);
+    active.start(message, this.#receiver(active), (silentMs) => {
+      if (this.#active === active) this.#abandonSilent(active, silentMs);
     });
   }
 
@@ -190,14 +190,14 @@
     urgency: number | undefined,
   ): sendings.OutgoingRequest {
     const { context, handover, served } = this.#parts;
-    const source = handover.handedOver;
+    const source = handover.prefilled;
     const { lastEventId } = served.progress;
-    const headers = context.format.writeSend(served.caller.headers, {
+    const headers = context.format.writeRequestHeaders(served.caller.headers, {
       deadlineMs: remainingMs,
       endpointId: planned.endpoint.id,
       ...(urgency === undefined ? {} : { urgency }),
-      ...(planned.stage === sendChoosers.Stage.Reading ? { readOnly: true } : {}),
-      ...(source === undefined ? {} : { source: { address: source.reader.address, handle: source.handle } }),
+      ...(planned.stage === sendChoosers.Stage.Prefill ? { prefillOnly: true } : {}),
+      ...(source === undefined ? {} : { source: { address: source.engine.address, handle: source.handle } }),
       ...(planned.plan?.copySource === undefined ? {} : { copyFrom: planned.plan.copySource.address }),
       ...(lastEventId === undefined ? {} : { lastEventId }),
     });
@@ -208,19 +208,20 @@
 
   #receiver(active: activeSends.ActiveSend): sendings.AnswerReceiver {
     const send: exchangeParts.AnsweredSend = { ...this.#parts, active, results: this };
-    if (active.stage === sendChoosers.Stage.Reading) return new promptReceivers.PromptReceiver(send);
+    if (active.stage === sendChoosers.Stage.Prefill) return new prefillReceivers.PrefillReceiver(send);
     return new answerReceivers.AnswerReceiver(send);
   }
 
-  #leaveSilent(active: activeSends.ActiveSend, silentMs: number): void {
+  /** Sends the request elsewhere if that is allowed; otherwise the send to the silent endpoint goes on. */
+  #abandonSilent(active: activeSends.ActiveSend, silentMs: number): void {
     const { context, feedback, served } = this.#parts;
-    const reading = active.stage === sendChoosers.Stage.Reading;
-    if (!reading && !serving.mayRetry(served.route)) return;
-    const fate = reading ? serving.SendOutcome.Declined : serving.SendOutcome.Unknown;
-    if (reading) served.countSend();
-    const step = served.decideNextStep(fate);
+    const isPrefill = active.stage === sendChoosers.Stage.Prefill;
+    if (!isPrefill && !serving.mayRetry(served.route)) return;
+    const outcome = isPrefill ? serving.SendOutcome.Declined : serving.SendOutcome.Unknown;
+    if (isPrefill) served.countSend();
+    const step = served.decideNextStep(outcome);
     if (step !== serving.NextStep.SendAgain) {
-      if (reading) served.uncountSend();
+      if (isPrefill) served.uncountSend();
       return;
     }
     context.log.warn("endpoint-silent", {
@@ -230,16 +231,16 @@
       silentMs: Math.round(silentMs),
       step,
     });
-    if (!reading) served.noteMayHaveRun();
-    feedback.judge(active, serving.SendResult.Silent);
+    if (!isPrefill) served.noteMayHaveRun();
+    feedback.recordResult(active, serving.SendResult.Silent);
     active.cancel();
     if (this.end(active)) this.sendNext();
   }
 
-  /** A send counts unless nothing of it left; the first read that an engine accepts doesn't, a rejected one does. */
-  #countFailed(active: activeSends.ActiveSend, fate: serving.SendOutcome): void {
+  /** A send counts unless nothing of it was sent. A prefill counts only when it fails, not when the engine accepts it. */
+  #countFailed(active: activeSends.ActiveSend, outcome: serving.SendOutcome): void {
     const { served } = this.#parts;
-    if (active.stage === sendChoosers.Stage.Answering && fate === serving.SendOutcome.NotSent) served.uncountSend();
-    if (active.stage === sendChoosers.Stage.Reading && fate !== serving.SendOutcome.NotSent) served.countSend();
+    if (active.stage === sendChoosers.Stage.Answering && outcome === serving.SendOutcome.NotSent) served.uncountSend();
+    if (active.stage === sendChoosers.Stage.Prefill && outcome !== serving.SendOutcome.NotSent) served.countSend();
   }
 }
--- /dev/null
+++ b/packages/gateway/tests/endpointCrashDetector.test.ts
@@ -0,0 +1,98 @@
+import * as net from "node:net";
+import * as serving from "@camphorcourse/serving";
+import * as uvu from "uvu";
+import * as assert from "uvu/assert";
+import * as decisionLogs from "../src/decisionLog.js";
+import * as crashDetectors from "../src/endpointCrashDetector.js";
+
+const FINGERPRINTS: serving.Fingerprints = { content: "c1", contentAndCaller: "o1" };
+
+/** Time within which a check of an endpoint has finished, in milliseconds. */
+const CHECKED_MS = 150;
+
+const pause = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
+
+interface Fixture {
+  readonly detector: crashDetectors.EndpointCrashDetector;
+  readonly crashed: [id: string, runs: number][];
+  readonly lines: string[];
+}
+
+function createFixture(options: { readonly isLeaving?: boolean; readonly hasLiveConnection?: boolean } = {}): Fixture {
+  const crashed: [string, number][] = [];
+  const lines: string[] = [];
+  const detector = new crashDetectors.EndpointCrashDetector({
+    log: new decisionLogs.DecisionLog("vm-1", "info", { writableLength: 0, write: (line) => lines.push(line) > 0 }),
+    hasLiveConnection: () => options.hasLiveConnection ?? false,
+    isLeaving: () => options.isLeaving ?? false,
+    onCrashed: ({ id }, runs) => crashed.push([id, runs.length]),
+  });
+  return { detector, crashed, lines };
+}
+
+function endpointAt(port: number): serving.Endpoint {
+  const role = serving.EngineRole.Decode;
+  return {
+    id: "e1",
+    service: "s",
+    address: `127.0.0.1:${port}`,
+    dataCentre: "a",
+    slots: 8,
+    role,
+    leaving: false,
+  };
+}
+
+async function listening(): Promise<net.Server> {
+  const server = net.createServer((socket) => socket.destroy());
+  await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
+  return server;
+}
+
+const portOf = (server: net.Server): number => (server.address() as net.AddressInfo).port;
+
+async function closedPort(): Promise<number> {
+  const server = await listening();
+  const port = portOf(server);
+  await new Promise((resolve) => server.close(resolve));
+  return port;
+}
+
+const run = (): crashDetectors.BrokenRun => ({ fingerprints: FINGERPRINTS, brokeAt: performance.now() });
+
+const suite = uvu.suite("endpoint crash detector");
+
+suite("an endpoint that refuses connections has crashed, reported once for all broken runs", async () => {
+  const { detector, crashed, lines } = createFixture();
+  const endpoint = endpointAt(await closedPort());
+  for (let index = 0; index < 3; index++) detector.noteBroken(endpoint, run());
+  await pause(CHECKED_MS);
+  assert.equal(crashed, [["e1", 3]]);
+  assert.is(lines.filter((line) => line.includes("event=endpoint-ended")).length, 1);
+});
+
+// Guards against reporting an endpoint that loses answers, or resets connections over its limit, as crashed.
+suite("an endpoint that accepts connections has not crashed, even if it closes them", async () => {
+  const { detector, crashed } = createFixture();
+  const server = await listening();
+  detector.noteBroken(endpointAt(portOf(server)), run());
+  await pause(CHECKED_MS);
+  server.close();
+  assert.equal(crashed, []);
+});
+
+suite("an endpoint with an open connection has not crashed, and no new connection is made", async () => {
+  const { detector, crashed } = createFixture({ hasLiveConnection: true });
+  detector.noteBroken(endpointAt(await closedPort()), run());
+  await pause(CHECKED_MS);
+  assert.equal(crashed, []);
+});
+
+suite("an endpoint that is leaving has not crashed", async () => {
+  const { detector, crashed } = createFixture({ isLeaving: true });
+  detector.noteBroken(endpointAt(await closedPort()), run());
+  await pause(CHECKED_MS);
+  assert.equal(crashed, []);
+});
+
+suite.run();
--- a/packages/gateway/tests/helpers/exchangeHarness.ts
+++ b/packages/gateway/tests/helpers/exchangeHarness.ts
@@ -7,7 +7,7 @@
 import * as contexts from "../../src/context.js";
 import * as decisionLogs from "../../src/decisionLog.js";
 import type * as sendings from "../../src/sending.js";
-import * as endpointEndDetectors from "../../src/endpointEndDetector.js";
+import * as crashDetectors from "../../src/endpointCrashDetector.js";
 import * as endpointClients from "../../src/endpointClient.js";
 import * as exchanges from "../../src/exchange.js";
 import * as fleetViews from "../../src/fleetView.js";
@@ -39,15 +39,15 @@
     endpoint: serving.Endpoint,
     request: sendings.OutgoingRequest,
     receiver: sendings.AnswerReceiver,
-  ): sendings.Sending {
+  ): sendings.InFlightRequest {
     const { nextError } = this;
     this.nextError = undefined;
     if (nextError !== undefined) throw nextError;
     const recorded: RecordedSend = { endpoint, path: request.path, receiver, cancelled: false };
     this.sends.push(recorded);
     return {
-      hasLeft: true,
-      leftAt: performance.now(),
+      wasDispatched: true,
+      dispatchedAt: performance.now(),
       unsentBytes: 0,
       cancel: () => {
         recorded.cancelled = true;
@@ -91,7 +91,7 @@
 const FORMAT: ports.MessageFormat = {
   retryAfterHeader: "retry",
   readCaller: unused,
-  writeSend: () => [],
+  writeRequestHeaders: () => [],
   readAnswer: (status, headers) => ({
     requestId: "request-1",
     sealed: headers.sealed !== undefined,
@@ -100,10 +100,10 @@
     endpointId: undefined,
   }),
   readHandle: (body) => neverthrow.ok({ handle: Buffer.from(body).toString() }),
-  freeHandle: (handle) => ({ method: "DELETE", path: `/free/${handle}` }),
-  engineQuestion: unused,
+  freeHandleCall: (handle) => ({ method: "DELETE", path: `/free/${handle}` }),
+  engineStateCall: unused,
   readEngineState: unused,
-  roleOrder: unused,
+  roleOrderCall: unused,
 };
 
 const SETTINGS: settingsModule.GatewaySettings = {
@@ -204,15 +204,15 @@
       demand: new serving.Demand(),
       sizeShares: new serving.AcceptanceTracker(),
       client: this.#client,
-      endDetector: new endpointEndDetectors.EndpointEndDetector({
+      crashDetector: new crashDetectors.EndpointCrashDetector({
         log: new decisionLogs.DecisionLog("vm-1", "info", sink),
         hasLiveConnection: () => true,
         isLeaving: () => false,
-        onEnded: () => undefined,
+        onCrashed: () => undefined,
       }),
       suspects: new suspectGates.SuspectGate({
         log: new decisionLogs.DecisionLog("vm-1", "info", sink),
-        heardAt: () => 0,
+        lastReceivedAt: () => 0,
         onEscalated: () => undefined,
         onQuarantined: () => undefined,
       }),
