--- a/packages/gateway/src/beliefs.ts
+++ b/packages/gateway/src/fleetViewUpdater.ts
@@ -39,7 +39,7 @@
 }
 
 /** Decodes what the key-value service or a peer says, and changes the view by it. */
-export class Beliefs {
+export class FleetViewUpdater {
   readonly #parts: BeliefParts;
   #roleChangeRevision = 0;
 
@@ -106,7 +106,13 @@
     const before = view.configurationRevision;
     if (!view.configure(configuration.value, document, revision)) return;
     const { version, routes } = configuration.value;
-    log.info("configuration-in-force", { version, revision, before, routes: routes.length, source });
+    log.info("configuration-in-force", {
+      version,
+      revision,
+      before,
+      routes: routes.length,
+      source,
+    });
     this.#parts.onConfiguration();
   }
 
@@ -246,7 +252,13 @@
     const { id, endpoint, change, revision, formerBornAt } = news;
     if (change === serving.EndpointChange.SetAside) {
       const service = endpoint?.service;
-      this.#parts.log.warn("endpoint-entry-unreadable", { endpoint: id, service, revision, source, detail: fault });
+      this.#parts.log.warn("endpoint-entry-unreadable", {
+        endpoint: id,
+        service,
+        revision,
+        source,
+        detail: fault,
+      });
     } else {
       this.#parts.log.info("endpoint", {
         change,
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -3,7 +3,7 @@
 import * as common from "@camphorcourse/common";
 import * as serving from "@camphorcourse/serving";
 import type * as hono from "hono";
-import * as beliefsModule from "./beliefs.js";
+import * as fleetViewUpdaters from "./fleetViewUpdater.js";
 import * as callerListeners from "./callerListener.js";
 import * as contexts from "./context.js";
 import * as decisionLogs from "./decisionLog.js";
@@ -132,11 +132,11 @@
       suspects,
       budgets: new contexts.RetryBudgets(settings.retryBounds, performance.now()),
       random,
-      onMisdirected: (endpoint, answeredBy) => beliefs.takeMisdirected(endpoint, answeredBy),
+      onMisdirected: (endpoint, answeredBy) => fleetViewUpdater.takeMisdirected(endpoint, answeredBy),
       liveDaemons: () => this.#view.daemonsAtMost,
     };
     this.#listener = new callerListeners.CallerListener(this.#context);
-    const beliefs = new beliefsModule.Beliefs({
+    const fleetViewUpdater = new fleetViewUpdaters.FleetViewUpdater({
       layout: dependencies.layout,
       view: this.#view,
       log: this.#log,
@@ -152,7 +152,7 @@
       store: dependencies.store,
       layout: dependencies.layout,
       view: this.#view,
-      beliefs,
+      fleetViewUpdater,
       log: this.#log,
       metrics: this.#metrics,
       draw: () => random.next(),
@@ -175,10 +175,12 @@
       storeSilentMs: () => this.#follower.silentMs,
       followsClosely: () => this.#storeDuty.followsClosely(performance.now()),
       busyCores: () => this.#utilization.share * settings.capacity,
-      onDaemon: (heard) => beliefs.takeHeardDaemon(heard),
-      onConfiguration: (document, revision) => beliefs.takeConfiguration(document, revision, beliefsModule.Source.Peer),
-      onEndpoint: (id, value, revision) => beliefs.takeEndpoint(id, value, revision, beliefsModule.Source.Peer),
-      onDeparture: (id, departure) => beliefs.takeDeparture(id, departure, beliefsModule.Source.Peer),
+      onDaemon: (heard) => fleetViewUpdater.takeHeardDaemon(heard),
+      onConfiguration: (document, revision) =>
+        fleetViewUpdater.takeConfiguration(document, revision, fleetViewUpdaters.Source.Peer),
+      onEndpoint: (id, value, revision) =>
+        fleetViewUpdater.takeEndpoint(id, value, revision, fleetViewUpdaters.Source.Peer),
+      onDeparture: (id, departure) => fleetViewUpdater.takeDeparture(id, departure, fleetViewUpdaters.Source.Peer),
     });
     this.#storeDuty = new storeDuties.StoreDuty({
       entry: this.#entry,
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -3,7 +3,7 @@
  * ports.
  */
 export * from "./address.js";
-export * from "./beliefs.js";
+export * from "./fleetViewUpdater.js";
 export * from "./context.js";
 export * from "./decisionLog.js";
 export * from "./endpointClient.js";
--- a/packages/gateway/src/peerLink.ts
+++ b/packages/gateway/src/peerLink.ts
@@ -2,7 +2,7 @@
 import * as protobuf from "@bufbuild/protobuf";
 import * as messages from "@camphorcourse/protocol/gateway";
 import * as serving from "@camphorcourse/serving";
-import type * as beliefsModule from "./beliefs.js";
+import type * as beliefsModule from "./fleetViewUpdater.js";
 import * as daemonEntries from "./daemonEntry.js";
 import type * as decisionLogs from "./decisionLog.js";
 import type * as fleetViews from "./fleetView.js";
--- a/packages/gateway/src/peers/toldChanges.ts
+++ b/packages/gateway/src/peers/toldChanges.ts
@@ -1,6 +1,6 @@
 import * as protobuf from "@bufbuild/protobuf";
 import * as messages from "@camphorcourse/protocol/gateway";
-import type * as beliefsModule from "../beliefs.js";
+import type * as beliefsModule from "../fleetViewUpdater.js";
 import type * as fleetViews from "../fleetView.js";
 import * as toldLives from "../toldLives.js";
 
--- a/packages/gateway/src/storeFollower.ts
+++ b/packages/gateway/src/storeFollower.ts
@@ -1,5 +1,5 @@
 import * as serving from "@camphorcourse/serving";
-import type * as beliefsModule from "./beliefs.js";
+import type * as beliefsModule from "./fleetViewUpdater.js";
 import type * as decisionLogs from "./decisionLog.js";
 import type * as fleetViews from "./fleetView.js";
 import * as metricsModule from "./metrics.js";
@@ -44,7 +44,7 @@
   readonly store: ports.DurableStore;
   readonly layout: ports.StoreLayout;
   readonly view: fleetViews.FleetView;
-  readonly beliefs: beliefsModule.Beliefs;
+  readonly fleetViewUpdater: beliefsModule.FleetViewUpdater;
   readonly log: decisionLogs.DecisionLog;
   readonly metrics: metricsModule.Metrics;
   /** @returns a uniform number in [0, 1) */
@@ -137,7 +137,7 @@
     if (listing.isErr()) return this.#failed(listing.error, started);
     this.#answered(started);
     if (this.#listDueAt !== undefined && performance.now() >= this.#listDueAt) this.#listDueAt = undefined;
-    this.#parts.beliefs.takeListing(listing.value);
+    this.#parts.fleetViewUpdater.takeListing(listing.value);
     this.#revision = listing.value.revision;
     return 0;
   }
@@ -155,7 +155,7 @@
       return this.#failed(changes.error, started);
     }
     this.#answered(started);
-    for (const event of changes.value.events) this.#parts.beliefs.takeEvent(event);
+    for (const event of changes.value.events) this.#parts.fleetViewUpdater.takeEvent(event);
     this.#revision = Math.max(after, changes.value.revision);
     return WATCH_PAUSE_MS;
   }
--- a/packages/gateway/tests/beliefs.test.ts
+++ b/packages/gateway/tests/fleetViewUpdater.test.ts
@@ -2,7 +2,7 @@
 import * as neverthrow from "neverthrow";
 import * as uvu from "uvu";
 import * as assert from "uvu/assert";
-import * as beliefsModule from "../src/beliefs.js";
+import * as beliefsModule from "../src/fleetViewUpdater.js";
 import * as decisionLogs from "../src/decisionLog.js";
 import * as fleetViews from "../src/fleetView.js";
 import type * as ports from "../src/ports.js";
@@ -20,7 +20,7 @@
     neverthrow.ok({ id, service: "labels", address: "x:1", role: serving.EngineRole.None, leaving: false }),
 } as unknown as ports.StoreLayout;
 
-function believing(): { beliefs: beliefsModule.Beliefs; view: fleetViews.FleetView } {
+function believing(): { beliefs: beliefsModule.FleetViewUpdater; view: fleetViews.FleetView } {
   const view = new fleetViews.FleetView();
   const log = new decisionLogs.DecisionLog("vm-1", "fatal", { writableLength: 0, write: () => true });
   const onEndpoint = (news: serving.EndpointUpdate): void => {
@@ -36,7 +36,7 @@
     onRoleChange: ignore,
     onConfiguration: ignore,
   };
-  return { beliefs: new beliefsModule.Beliefs(parts), view };
+  return { beliefs: new beliefsModule.FleetViewUpdater(parts), view };
 }
 
 // An endpoint leaves. A peer that lags tells its old entry once more, which this daemon doesn't believe. Were it kept to
--- a/packages/gateway/tests/peerLives.test.ts
+++ b/packages/gateway/tests/peerLives.test.ts
@@ -4,7 +4,7 @@
 import * as serving from "@camphorcourse/serving";
 import * as uvu from "uvu";
 import * as assert from "uvu/assert";
-import type * as beliefs from "../src/beliefs.js";
+import type * as beliefs from "../src/fleetViewUpdater.js";
 import * as decisionLogs from "../src/decisionLog.js";
 import * as fleetViews from "../src/fleetView.js";
 import * as peerLinks from "../src/peerLink.js";
