--- a/packages/gateway/src/fleetViewUpdater.ts
+++ b/packages/gateway/src/fleetViewUpdater.ts
@@ -49,7 +49,7 @@
   }
 
   /** @param listing - everything that the key-value service holds */
-  takeListing(listing: ports.StoreListing): void {
+  applyListing(listing: ports.StoreListing): void {
     const { layout, view } = this.#parts;
     const endpoints: serving.ListedEntry[] = [];
     const documents: ports.StoredItem[] = [];
--- a/packages/gateway/src/storeFollower.ts
+++ b/packages/gateway/src/storeFollower.ts
@@ -137,7 +137,7 @@
     if (listing.isErr()) return this.#failed(listing.error, started);
     this.#answered(started);
     if (this.#listDueAt !== undefined && performance.now() >= this.#listDueAt) this.#listDueAt = undefined;
-    this.#parts.fleetViewUpdater.takeListing(listing.value);
+    this.#parts.fleetViewUpdater.applyListing(listing.value);
     this.#revision = listing.value.revision;
     return 0;
   }
--- a/packages/gateway/tests/fleetViewUpdater.test.ts
+++ b/packages/gateway/tests/fleetViewUpdater.test.ts
@@ -58,7 +58,7 @@
   beliefs.takeEndpoint("e1", ENTRY, 3, beliefsModule.Source.Peer);
   beliefs.takeDeparture("e1", { revision: 5, bornAt: undefined, setAside: false }, beliefsModule.Source.Peer);
   const item = { key: `${PREFIX}e1`, value: ENTRY, revision: 3, createdRevision: 3 };
-  beliefs.takeListing({ items: [item], revision: 4 });
+  beliefs.applyListing({ items: [item], revision: 4 });
   assert.not.ok(view.endpointDocuments.has("e1"));
 });
 
