--- a/packages/gateway/src/fleetViewUpdater.ts
+++ b/packages/gateway/src/fleetViewUpdater.ts
@@ -76,7 +76,7 @@
   }
 
   /** @param event - a change in the key-value service */
-  takeEvent(event: ports.StoreEvent): void {
+  applyEvent(event: ports.StoreEvent): void {
     const { layout, view } = this.#parts;
     if (event.item !== undefined) {
       this.#takeItem(event.item);
--- a/packages/gateway/src/storeFollower.ts
+++ b/packages/gateway/src/storeFollower.ts
@@ -155,7 +155,7 @@
       return this.#failed(changes.error, started);
     }
     this.#answered(started);
-    for (const event of changes.value.events) this.#parts.fleetViewUpdater.takeEvent(event);
+    for (const event of changes.value.events) this.#parts.fleetViewUpdater.applyEvent(event);
     this.#revision = Math.max(after, changes.value.revision);
     return WATCH_PAUSE_MS;
   }
