--- a/packages/gateway/src/fleetViewUpdater.ts
+++ b/packages/gateway/src/fleetViewUpdater.ts
@@ -95,7 +95,7 @@
    * @param revision - revision of its write
    * @param source - who says so
    */
-  takeConfiguration(document: Uint8Array, revision: number, source: Source): void {
+  applyConfiguration(document: Uint8Array, revision: number, source: Source): void {
     const { layout, view, log } = this.#parts;
     if (revision <= view.configurationRevision) return;
     const configuration = layout.decodeConfiguration(document);
@@ -195,7 +195,7 @@
   #takeItem(item: ports.StoredItem): void {
     const { layout } = this.#parts;
     if (item.key === layout.configurationKey) {
-      this.takeConfiguration(item.value, item.revision, Source.Store);
+      this.applyConfiguration(item.value, item.revision, Source.Store);
     } else if (item.key.startsWith(layout.endpointPrefix)) {
       this.takeEndpoint(item.key.slice(layout.endpointPrefix.length), item.value, item.revision, Source.Store);
     } else if (item.key.startsWith(layout.daemonPrefix)) {
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -177,7 +177,7 @@
       busyCores: () => this.#utilization.share * settings.capacity,
       onDaemon: (heard) => fleetViewUpdater.takeHeardDaemon(heard),
       onConfiguration: (document, revision) =>
-        fleetViewUpdater.takeConfiguration(document, revision, fleetViewUpdaters.Source.Peer),
+        fleetViewUpdater.applyConfiguration(document, revision, fleetViewUpdaters.Source.Peer),
       onEndpoint: (id, value, revision) =>
         fleetViewUpdater.takeEndpoint(id, value, revision, fleetViewUpdaters.Source.Peer),
       onDeparture: (id, departure) => fleetViewUpdater.takeDeparture(id, departure, fleetViewUpdaters.Source.Peer),
