--- a/packages/gateway/src/fleetViewUpdater.ts
+++ b/packages/gateway/src/fleetViewUpdater.ts
@@ -122,7 +122,7 @@
    * @param revision - revision of the entry
    * @param source - who says so
    */
-  takeEndpoint(id: string, value: Uint8Array, revision: number, source: Source): void {
+  applyEndpoint(id: string, value: Uint8Array, revision: number, source: Source): void {
     const { layout, view } = this.#parts;
     const decoded = layout.decodeEndpoint(id, value);
     const news = decoded.isOk() ? view.directory.put(decoded.value, revision) : view.directory.setAside(id, revision);
@@ -197,7 +197,7 @@
     if (item.key === layout.configurationKey) {
       this.applyConfiguration(item.value, item.revision, Source.Store);
     } else if (item.key.startsWith(layout.endpointPrefix)) {
-      this.takeEndpoint(item.key.slice(layout.endpointPrefix.length), item.value, item.revision, Source.Store);
+      this.applyEndpoint(item.key.slice(layout.endpointPrefix.length), item.value, item.revision, Source.Store);
     } else if (item.key.startsWith(layout.daemonPrefix)) {
       this.#takeDaemon(item);
     } else if (item.key === layout.roleChangeKey) {
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -179,7 +179,7 @@
       onConfiguration: (document, revision) =>
         fleetViewUpdater.applyConfiguration(document, revision, fleetViewUpdaters.Source.Peer),
       onEndpoint: (id, value, revision) =>
-        fleetViewUpdater.takeEndpoint(id, value, revision, fleetViewUpdaters.Source.Peer),
+        fleetViewUpdater.applyEndpoint(id, value, revision, fleetViewUpdaters.Source.Peer),
       onDeparture: (id, departure) => fleetViewUpdater.takeDeparture(id, departure, fleetViewUpdaters.Source.Peer),
     });
     this.#storeDuty = new storeDuties.StoreDuty({
--- a/packages/gateway/tests/fleetViewUpdater.test.ts
+++ b/packages/gateway/tests/fleetViewUpdater.test.ts
@@ -43,19 +43,19 @@
 // be told, a daemon that starts later would learn the old entry without the departure, and send requests there.
 suite("an old entry of an endpoint that has left is not passed on", () => {
   const { beliefs, view } = believing();
-  beliefs.takeEndpoint("e1", ENTRY, 3, beliefsModule.Source.Peer);
+  beliefs.applyEndpoint("e1", ENTRY, 3, beliefsModule.Source.Peer);
   assert.ok(view.endpointDocuments.has("e1"));
   beliefs.takeDeparture("e1", { revision: 5, bornAt: undefined, setAside: false }, beliefsModule.Source.Peer);
-  beliefs.takeEndpoint("e1", ENTRY, 3, beliefsModule.Source.Peer);
+  beliefs.applyEndpoint("e1", ENTRY, 3, beliefsModule.Source.Peer);
   assert.not.ok(view.endpointDocuments.has("e1"));
-  beliefs.takeEndpoint("e1", ENTRY, 6, beliefsModule.Source.Peer);
+  beliefs.applyEndpoint("e1", ENTRY, 6, beliefsModule.Source.Peer);
   assert.ok(view.endpointDocuments.has("e1"));
 });
 
 // The departure is heard while a listing from before it is on its way.
 suite("nor is one of a listing that is older than the departure", () => {
   const { beliefs, view } = believing();
-  beliefs.takeEndpoint("e1", ENTRY, 3, beliefsModule.Source.Peer);
+  beliefs.applyEndpoint("e1", ENTRY, 3, beliefsModule.Source.Peer);
   beliefs.takeDeparture("e1", { revision: 5, bornAt: undefined, setAside: false }, beliefsModule.Source.Peer);
   const item = { key: `${PREFIX}e1`, value: ENTRY, revision: 3, createdRevision: 3 };
   beliefs.applyListing({ items: [item], revision: 4 });
