--- a/packages/gateway/src/fleetViewUpdater.ts
+++ b/packages/gateway/src/fleetViewUpdater.ts
@@ -87,7 +87,7 @@
     // A removal just after the service's return may be a lapse of the outage; the listing that follows tells.
     if (view.directory.isReregistrationGraceActive(performance.now())) return;
     const departure = { revision: event.revision, bornAt: undefined, setAside: false };
-    this.takeDeparture(event.key.slice(layout.endpointPrefix.length), departure, Source.Store);
+    this.applyDeparture(event.key.slice(layout.endpointPrefix.length), departure, Source.Store);
   }
 
   /**
@@ -135,7 +135,7 @@
    * @param departure - which of these, and since when
    * @param source - who says so
    */
-  takeDeparture(id: string, departure: Departure, source: Source): void {
+  applyDeparture(id: string, departure: Departure, source: Source): void {
     const { directory, endpointDocuments } = this.#parts.view;
     const { revision, bornAt, setAside } = departure;
     const news = setAside ? directory.setAside(id, revision) : directory.remove(id, revision, bornAt);
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -180,7 +180,7 @@
         fleetViewUpdater.applyConfiguration(document, revision, fleetViewUpdaters.Source.Peer),
       onEndpoint: (id, value, revision) =>
         fleetViewUpdater.applyEndpoint(id, value, revision, fleetViewUpdaters.Source.Peer),
-      onDeparture: (id, departure) => fleetViewUpdater.takeDeparture(id, departure, fleetViewUpdaters.Source.Peer),
+      onDeparture: (id, departure) => fleetViewUpdater.applyDeparture(id, departure, fleetViewUpdaters.Source.Peer),
     });
     this.#storeDuty = new storeDuties.StoreDuty({
       entry: this.#entry,
--- a/packages/gateway/tests/fleetViewUpdater.test.ts
+++ b/packages/gateway/tests/fleetViewUpdater.test.ts
@@ -45,7 +45,7 @@
   const { beliefs, view } = believing();
   beliefs.applyEndpoint("e1", ENTRY, 3, beliefsModule.Source.Peer);
   assert.ok(view.endpointDocuments.has("e1"));
-  beliefs.takeDeparture("e1", { revision: 5, bornAt: undefined, setAside: false }, beliefsModule.Source.Peer);
+  beliefs.applyDeparture("e1", { revision: 5, bornAt: undefined, setAside: false }, beliefsModule.Source.Peer);
   beliefs.applyEndpoint("e1", ENTRY, 3, beliefsModule.Source.Peer);
   assert.not.ok(view.endpointDocuments.has("e1"));
   beliefs.applyEndpoint("e1", ENTRY, 6, beliefsModule.Source.Peer);
@@ -56,7 +56,7 @@
 suite("nor is one of a listing that is older than the departure", () => {
   const { beliefs, view } = believing();
   beliefs.applyEndpoint("e1", ENTRY, 3, beliefsModule.Source.Peer);
-  beliefs.takeDeparture("e1", { revision: 5, bornAt: undefined, setAside: false }, beliefsModule.Source.Peer);
+  beliefs.applyDeparture("e1", { revision: 5, bornAt: undefined, setAside: false }, beliefsModule.Source.Peer);
   const item = { key: `${PREFIX}e1`, value: ENTRY, revision: 3, createdRevision: 3 };
   beliefs.applyListing({ items: [item], revision: 4 });
   assert.not.ok(view.endpointDocuments.has("e1"));
