--- a/packages/gateway/src/fleetViewUpdater.ts
+++ b/packages/gateway/src/fleetViewUpdater.ts
@@ -151,7 +151,7 @@
    * @param endpoint - the endpoint as believed in
    * @param answeredBy - the endpoint that is there now, if it says so
    */
-  takeMisdirected(endpoint: serving.Endpoint, answeredBy: string | undefined): void {
+  applyMisdirection(endpoint: serving.Endpoint, answeredBy: string | undefined): void {
     const { directory } = this.#parts.view;
     const replaced = answeredBy !== undefined && answeredBy !== endpoint.id;
     const news = replaced ? directory.markReplaced(endpoint) : directory.markRoleDeclined(endpoint);
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -132,7 +132,7 @@
       suspects,
       budgets: new contexts.RetryBudgets(settings.retryBounds, performance.now()),
       random,
-      onMisdirected: (endpoint, answeredBy) => fleetViewUpdater.takeMisdirected(endpoint, answeredBy),
+      onMisdirected: (endpoint, answeredBy) => fleetViewUpdater.applyMisdirection(endpoint, answeredBy),
       liveDaemons: () => this.#view.daemonsAtMost,
     };
     this.#listener = new callerListeners.CallerListener(this.#context);
