--- a/packages/gateway/src/fleetViewUpdater.ts
+++ b/packages/gateway/src/fleetViewUpdater.ts
@@ -168,7 +168,7 @@
    *
    * @param heard - the daemon, as it or another one says; what is not said is empty
    */
-  takeHeardDaemon(heard: daemonEntries.DaemonEntry): void {
+  addDiscoveredDaemon(heard: daemonEntries.DaemonEntry): void {
     const { layout, view, log } = this.#parts;
     const { vm, incarnation, peers } = heard;
     const key = `${layout.daemonPrefix}${vm}`;
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -175,7 +175,7 @@
       storeSilentMs: () => this.#follower.silentMs,
       followsClosely: () => this.#storeDuty.followsClosely(performance.now()),
       busyCores: () => this.#utilization.share * settings.capacity,
-      onDaemon: (heard) => fleetViewUpdater.takeHeardDaemon(heard),
+      onDaemon: (heard) => fleetViewUpdater.addDiscoveredDaemon(heard),
       onConfiguration: (document, revision) =>
         fleetViewUpdater.applyConfiguration(document, revision, fleetViewUpdaters.Source.Peer),
       onEndpoint: (id, value, revision) =>
