--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -14,7 +14,7 @@
 import * as loopWatches from "./loopWatch.js";
 import * as metricsModule from "./metrics.js";
 import * as orderAuthorities from "./orderAuthority.js";
-import * as peerBooks from "./peerBook.js";
+import * as peerTables from "./peerTable.js";
 import * as peerLinks from "./peerLink.js";
 import type * as ports from "./ports.js";
 import * as registrations from "./registration.js";
@@ -337,12 +337,12 @@
    * renew its lease, and nobody would issue orders.
    */
   #isOrderCandidate(): boolean {
-    if (!this.ready || this.#follower.silentMs > peerBooks.STORE_SILENT_MS) return false;
+    if (!this.ready || this.#follower.silentMs > peerTables.STORE_SILENT_MS) return false;
     // A standby daemon hears only from a part of the fleet, and would wrongly consider itself the candidate.
     if (!this.#peers.standing.active) return false;
     const peers = this.#peers.book
       .live(performance.now())
-      .filter((peer) => peer.ready && peer.active && peer.storeSilentMs <= peerBooks.STORE_SILENT_MS);
+      .filter((peer) => peer.ready && peer.active && peer.storeSilentMs <= peerTables.STORE_SILENT_MS);
     const names = [this.#entry.vm, ...peers.map((peer) => peer.vm)];
     return common.rendezvousOrder(ORDERS_KEY, names)[0] === this.#entry.vm;
   }
@@ -364,7 +364,7 @@
     });
   }
 
-  #sumOverPeers(valueOf: (peer: peerBooks.PeerState) => number): number {
+  #sumOverPeers(valueOf: (peer: peerTables.PeerState) => number): number {
     return this.#peers.book.live(performance.now()).reduce((sum, peer) => sum + valueOf(peer), 0);
   }
 
--- a/packages/gateway/src/peerLink.ts
+++ b/packages/gateway/src/peerLink.ts
@@ -6,7 +6,7 @@
 import * as daemonEntries from "./daemonEntry.js";
 import type * as decisionLogs from "./decisionLog.js";
 import type * as fleetViews from "./fleetView.js";
-import * as peerBooks from "./peerBook.js";
+import * as peerBooks from "./peerTable.js";
 import * as peerNews from "./peerNews.js";
 import * as peerPulses from "./peerPulse.js";
 import * as peerWorks from "./peerWork.js";
@@ -65,7 +65,7 @@
 
 /** Speaks with the other daemons: work, departures, and news for those that the key-value service doesn't answer. */
 export class PeerLink {
-  readonly book: peerBooks.PeerBook;
+  readonly book: peerBooks.PeerTable;
   /** Whether this daemon takes callers, and who does. */
   readonly standing: standings.Standing;
   readonly #parts: PeerLinkParts;
@@ -85,7 +85,7 @@
   /** @param parts - what it needs */
   constructor(parts: PeerLinkParts) {
     this.#parts = parts;
-    this.book = new peerBooks.PeerBook(parts.entry.vm);
+    this.book = new peerBooks.PeerTable(parts.entry.vm);
     this.standing = new standings.Standing({ ...parts, book: this.book });
     this.#work = new peerWorks.PeerWork(parts);
     this.#changes = new toldChanges.ToldChanges(parts.view);
--- a/packages/gateway/src/peerBook.ts
+++ b/packages/gateway/src/peerTable.ts
@@ -72,7 +72,7 @@
 const MOST_TELLERS = 3;
 
 /** What the other daemons last said, and who needs to be told what. */
-export class PeerBook {
+export class PeerTable {
   #nextTellerMs = NEXT_TELLER_MS;
   readonly #own: string;
   readonly #states = new Map<string, PeerState>();
--- a/packages/gateway/src/peerWork.ts
+++ b/packages/gateway/src/peerWork.ts
@@ -2,7 +2,7 @@
 import * as messages from "@camphorcourse/protocol/gateway";
 import * as serving from "@camphorcourse/serving";
 import type * as fleetViews from "./fleetView.js";
-import type * as peerBooks from "./peerBook.js";
+import type * as peerBooks from "./peerTable.js";
 import * as toldLives from "./toldLives.js";
 
 /** Messages tell a load in whole thousandths. */
@@ -56,7 +56,11 @@
     const { board, demand } = this.#parts;
     return {
       work: [...board.ownWork()].map(([endpoint, { running, unread }]) =>
-        protobuf.create(messages.EndpointWorkSchema, { endpoint, running, unread: unread.map(wholeNumber) }),
+        protobuf.create(messages.EndpointWorkSchema, {
+          endpoint,
+          running,
+          unread: unread.map(wholeNumber),
+        }),
       ),
       reads: this.#readMessages(),
       observations: this.#observationMessages(),
--- a/packages/gateway/src/peers/standing.ts
+++ b/packages/gateway/src/peers/standing.ts
@@ -1,12 +1,12 @@
 import * as serving from "@camphorcourse/serving";
 import type * as decisionLogs from "../decisionLog.js";
 import type * as daemonEntries from "../daemonEntry.js";
-import type * as peerBooks from "../peerBook.js";
+import type * as peerBooks from "../peerTable.js";
 
 /** What the standing is decided by. */
 export interface StandingParts {
   readonly entry: daemonEntries.DaemonEntry;
-  readonly book: peerBooks.PeerBook;
+  readonly book: peerBooks.PeerTable;
   readonly log: decisionLogs.DecisionLog;
   /** Whether this daemon can serve callers. */
   readonly ready: () => boolean;
--- a/packages/gateway/src/storeDuty.ts
+++ b/packages/gateway/src/storeDuty.ts
@@ -1,6 +1,6 @@
 import type * as daemonEntries from "./daemonEntry.js";
 import type * as fleetViews from "./fleetView.js";
-import * as peerBooks from "./peerBook.js";
+import * as peerBooks from "./peerTable.js";
 import type * as standings from "./peers/standing.js";
 import * as watchDuties from "./watchDuty.js";
 
@@ -11,7 +11,7 @@
 export interface StoreDutyParts {
   readonly entry: daemonEntries.DaemonEntry;
   readonly view: fleetViews.FleetView;
-  readonly book: peerBooks.PeerBook;
+  readonly book: peerBooks.PeerTable;
   readonly standing: standings.Standing;
   /** Whether this daemon can serve callers. */
   readonly ready: () => boolean;
--- a/packages/gateway/tests/helpers/talkingFleet.ts
+++ b/packages/gateway/tests/helpers/talkingFleet.ts
@@ -1,7 +1,7 @@
 import * as common from "@camphorcourse/common";
 import * as decisionLogs from "../../src/decisionLog.js";
 import type * as daemonEntries from "../../src/daemonEntry.js";
-import * as peerBooks from "../../src/peerBook.js";
+import * as peerBooks from "../../src/peerTable.js";
 import * as audiences from "../../src/peers/audience.js";
 import * as standings from "../../src/peers/standing.js";
 
@@ -14,7 +14,7 @@
 /** One daemon of the fleet: what it hears decides whom it speaks to. */
 export class TalkingDaemon {
   readonly entry: daemonEntries.DaemonEntry;
-  readonly book: peerBooks.PeerBook;
+  readonly book: peerBooks.PeerTable;
   readonly standing: standings.Standing;
   up = true;
   ready = true;
@@ -27,7 +27,7 @@
 
   constructor(entry: daemonEntries.DaemonEntry) {
     this.entry = entry;
-    this.book = new peerBooks.PeerBook(entry.vm);
+    this.book = new peerBooks.PeerTable(entry.vm);
     this.standing = new standings.Standing({
       entry,
       book: this.book,
@@ -43,7 +43,12 @@
     const named = new Set(this.book.live(now).flatMap(({ activeVms: names }) => names));
     const known = others.map((entry) => {
       const heard = this.book.heard(entry.vm, now);
-      return { entry, live: heard !== undefined, deciding: heard?.deciding ?? false, named: named.has(entry.vm) };
+      return {
+        entry,
+        live: heard !== undefined,
+        deciding: heard?.deciding ?? false,
+        named: named.has(entry.vm),
+      };
     });
     const { active: deciding, host } = this.standing;
     const audience = audiences.audienceOf({ dataCentre: this.entry.dataCentre, deciding, host }, known, this.#turn);
--- a/packages/gateway/tests/peerBook.test.ts
+++ b/packages/gateway/tests/peerTable.test.ts
@@ -1,6 +1,6 @@
 import * as uvu from "uvu";
 import * as assert from "uvu/assert";
-import * as peerBooks from "../src/peerBook.js";
+import * as peerBooks from "../src/peerTable.js";
 
 const suite = uvu.suite("what peers say of themselves");
 
@@ -50,7 +50,7 @@
   { lookEveryMs = 100, mute = [], storeSilentMs = 100, tellers = NAMES.slice(0, 3), deaf = false }: Watch = {},
 ): { teller: string; told: string; at: number }[] {
   const told: { teller: string; told: string; at: number }[] = [];
-  const books = tellers.map((vm) => ({ vm, book: new peerBooks.PeerBook(vm) }));
+  const books = tellers.map((vm) => ({ vm, book: new peerBooks.PeerTable(vm) }));
   const known = { ...KNOWN, answered: storeSilentMs < peerBooks.STORE_SILENT_MS };
   for (const { book } of books) book.followInterval(lookEveryMs);
   for (let now = 0; now <= 3_000; now += lookEveryMs) {
@@ -114,11 +114,11 @@
   const behind = { configurationRevision: 4, followsClosely: false };
   const own = { ...KNOWN, followsClosely: false };
   for (const vm of ["vm-1", "vm-2", "vm-3"]) {
-    const book = new peerBooks.PeerBook(vm);
+    const book = new peerBooks.PeerTable(vm);
     book.hear(state("vm-4", 0, behind));
     book.hear(state("vm-close", 0));
     assert.equal(book.toTell(own, 0), []);
-    const alone = new peerBooks.PeerBook(vm);
+    const alone = new peerBooks.PeerTable(vm);
     alone.hear(state("vm-4", 0, behind));
     assert.is(alone.toTell(own, 0).length, 1);
   }
@@ -133,7 +133,7 @@
   const close = Array.from({ length: 8 }, (_, index) => `vm-close-${index}`);
   const seldom = Array.from({ length: 71 }, (_, index) => `vm-${index}`);
   const told = close.flatMap((own) => {
-    const book = new peerBooks.PeerBook(own);
+    const book = new peerBooks.PeerTable(own);
     const others = close.filter((vm) => vm !== own);
     for (const vm of others) book.hear(state(vm, 0, { configurationRevision: 4 }));
     for (const vm of seldom) book.hear(state(vm, 0, { configurationRevision: 4, followsClosely: false }));
@@ -160,7 +160,7 @@
 // A VM was behind, fell silent and starts again. It is new to its peers: one of them tells it, not each of those that
 // had waited in vain before.
 suite("a daemon that has started again is waited for anew", () => {
-  const book = new peerBooks.PeerBook("vm-1");
+  const book = new peerBooks.PeerTable("vm-1");
   book.hear(state("vm-4", 0, { configurationRevision: 4 }));
   assert.equal(book.toTell(KNOWN, 0), []);
   book.hear(state("vm-4", 5_000, { configurationRevision: 0, incarnation: "after" }));
@@ -179,7 +179,7 @@
 
 // A VM loses power: its entry stays until its lease lapses, but callers must not be sent there for that long.
 suite("callers are not sent to a daemon that has fallen silent", () => {
-  const book = new peerBooks.PeerBook("vm-1");
+  const book = new peerBooks.PeerTable("vm-1");
   book.hear(state("vm-2", 0));
   book.hear(state("vm-3", 2_000));
   assert.not.ok(book.mayTakeCallers("vm-2", 2_000));
@@ -189,7 +189,7 @@
 
 // A daemon that hears nobody is itself cut off; then silence says nothing of the others.
 suite("a daemon that hears nobody still names the others", () => {
-  const book = new peerBooks.PeerBook("vm-1");
+  const book = new peerBooks.PeerTable("vm-1");
   book.hear(state("vm-2", 0));
   assert.ok(book.mayTakeCallers("vm-2", 60_000));
 });
@@ -202,7 +202,7 @@
 });
 
 suite("the service counts as away when most daemons miss it, not when one does", () => {
-  const book = new peerBooks.PeerBook("vm-1");
+  const book = new peerBooks.PeerTable("vm-1");
   book.hear(state("vm-2", 0, { storeSilentMs: 5_000 }));
   book.hear(state("vm-3", 0));
   book.hear(state("vm-4", 0));
