--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -159,7 +159,7 @@
       followsClosely: () => this.#storeDuty.followsClosely(performance.now()),
       isTold: () => this.#storeDuty.isTold(performance.now()),
       standsBy: () => !this.#peers.standing.active,
-      peersMissStore: () => this.#peers.book.storeIsAway(performance.now()),
+      peersMissStore: () => this.#peers.peerTable.storeIsAway(performance.now()),
     });
     this.#peers = new peerLinks.PeerLink({
       settings,
@@ -185,7 +185,7 @@
     this.#storeDuty = new storeDuties.StoreDuty({
       entry: this.#entry,
       view: this.#view,
-      book: this.#peers.book,
+      peerTable: this.#peers.peerTable,
       standing: this.#peers.standing,
       ready: () => this.ready,
     });
@@ -253,7 +253,7 @@
       (daemon) => daemon.vm !== this.#entry.vm && daemon.callers !== "",
     );
     const { names } = this.#peers.standing;
-    const available = others.filter(({ vm }) => names.includes(vm) || this.#peers.book.mayTakeCallers(vm, now));
+    const available = others.filter(({ vm }) => names.includes(vm) || this.#peers.peerTable.mayTakeCallers(vm, now));
     if (this.ready) available.push(this.#entry);
     const active = available.filter((daemon) => this.#isActive(daemon.vm, now));
     const choices = [active, available].map((daemons) => daemons.filter((daemon) => daemon.dataCentre === dataCentre));
@@ -263,7 +263,7 @@
 
   #isActive(vm: string, now: number): boolean {
     if (this.#peers.standing.names.includes(vm)) return true;
-    return this.#peers.book.heard(vm, now)?.active ?? false;
+    return this.#peers.peerTable.heard(vm, now)?.active ?? false;
   }
 
   /** @returns all metrics in the text format */
@@ -273,7 +273,7 @@
       configuration_revision: this.#view.configurationRevision,
       store_revision: this.#view.directory.revision,
       daemons_known: this.#view.daemons.size,
-      daemons_heard: this.#peers.book.live(performance.now()).length,
+      daemons_heard: this.#peers.peerTable.live(performance.now()).length,
       suspects: this.#context.suspects.table.count(performance.now()),
       takes_callers: Number(this.#peers.standing.active),
       busy_cores: this.#utilization.share * this.#settings.capacity,
@@ -340,7 +340,7 @@
     if (!this.ready || this.#follower.silentMs > peerTables.STORE_SILENT_MS) return false;
     // A standby daemon hears only from a part of the fleet, and would wrongly consider itself the candidate.
     if (!this.#peers.standing.active) return false;
-    const peers = this.#peers.book
+    const peers = this.#peers.peerTable
       .live(performance.now())
       .filter((peer) => peer.ready && peer.active && peer.storeSilentMs <= peerTables.STORE_SILENT_MS);
     const names = [this.#entry.vm, ...peers.map((peer) => peer.vm)];
@@ -365,7 +365,7 @@
   }
 
   #sumOverPeers(valueOf: (peer: peerTables.PeerState) => number): number {
-    return this.#peers.book.live(performance.now()).reduce((sum, peer) => sum + valueOf(peer), 0);
+    return this.#peers.peerTable.live(performance.now()).reduce((sum, peer) => sum + valueOf(peer), 0);
   }
 
   async #runShutdown(shutdown: serving.GracefulShutdown): Promise<void> {
--- a/packages/gateway/src/peerLink.ts
+++ b/packages/gateway/src/peerLink.ts
@@ -65,7 +65,7 @@
 
 /** Speaks with the other daemons: work, departures, and news for those that the key-value service doesn't answer. */
 export class PeerLink {
-  readonly book: peerBooks.PeerTable;
+  readonly peerTable: peerBooks.PeerTable;
   /** Whether this daemon takes callers, and who does. */
   readonly standing: standings.Standing;
   readonly #parts: PeerLinkParts;
@@ -85,8 +85,8 @@
   /** @param parts - what it needs */
   constructor(parts: PeerLinkParts) {
     this.#parts = parts;
-    this.book = new peerBooks.PeerTable(parts.entry.vm);
-    this.standing = new standings.Standing({ ...parts, book: this.book });
+    this.peerTable = new peerBooks.PeerTable(parts.entry.vm);
+    this.standing = new standings.Standing({ ...parts, book: this.peerTable });
     this.#work = new peerWorks.PeerWork(parts);
     this.#changes = new toldChanges.ToldChanges(parts.view);
     this.#pulse = new peerPulses.PeerPulse(
@@ -167,19 +167,19 @@
 
   #followFleetSize({ often }: audiences.Audience): number {
     const intervalMs = this.#deciding ? serving.heartbeatIntervalMs(often.length) : STANDBY_LOOK_MS;
-    this.book.followInterval(intervalMs);
+    this.peerTable.followInterval(intervalMs);
     return intervalMs;
   }
 
   /** One that stands by is not heard by others of its kind, and leaves the telling to those that decide. */
   #isTeller(now: number): boolean {
-    return this.#deciding || !this.book.live(now).some((peer) => peer.active);
+    return this.#deciding || !this.peerTable.live(now).some((peer) => peer.active);
   }
 
   #audience(now: number): audiences.Audience {
-    const named = new Set(this.book.live(now).flatMap((peer) => peer.activeVms));
+    const named = new Set(this.peerTable.live(now).flatMap((peer) => peer.activeVms));
     const known = this.#others().map((entry) => {
-      const heard = this.book.heard(entry.vm, now);
+      const heard = this.peerTable.heard(entry.vm, now);
       return {
         entry,
         live: heard !== undefined,
@@ -204,7 +204,7 @@
   #formerAddresses(now: number): string[] {
     const { entry, view, ready } = this.#parts;
     if (!ready() || !this.#deciding) return [];
-    const able = this.book.live(now).filter((peer) => peer.ready && peer.deciding && peer.vm !== entry.vm);
+    const able = this.peerTable.live(now).filter((peer) => peer.ready && peer.deciding && peer.vm !== entry.vm);
     const former = view.former.spokenToBy(
       entry.vm,
       able.map((peer) => peer.vm),
@@ -283,7 +283,7 @@
         peers: sender,
         capacity,
       });
-    const before = this.book.hear({
+    const before = this.peerTable.hear({
       vm,
       incarnation,
       dataCentre,
@@ -338,7 +338,7 @@
       answered: this.#parts.storeSilentMs() < peerBooks.STORE_SILENT_MS,
       followsClosely: this.#parts.followsClosely(),
     };
-    for (const peer of this.book.toTell(known, now)) {
+    for (const peer of this.peerTable.toTell(known, now)) {
       const address = this.#others().find((daemon) => daemon.vm === peer.vm)?.peers;
       if (address === undefined) continue;
       log.info("tell-peer", { peer: peer.vm, has: peer.configurationRevision, tells: view.configurationRevision });
@@ -374,7 +374,7 @@
   /** What a daemon that has just started would read of in the key-value service: where the others are. */
   #liveDaemons(now: number): messages.DaemonAddress[] {
     const { entry } = this.#parts;
-    const live = new Set(this.book.live(now).map((peer) => peer.vm)).add(entry.vm);
+    const live = new Set(this.peerTable.live(now).map((peer) => peer.vm)).add(entry.vm);
     return [...this.#others(), entry]
       .filter((daemon) => live.has(daemon.vm))
       .map(({ capacity, ...daemon }) => {
--- a/packages/gateway/tests/peerLink.test.ts
+++ b/packages/gateway/tests/peerLink.test.ts
@@ -83,7 +83,7 @@
     link.noteConfiguration();
     await link.start();
     await within(() => heard.length === 1, "the first pulse");
-    link.book.hear({
+    link.peerTable.hear({
       vm: "vm-2",
       incarnation: "i",
       dataCentre: "a",
