--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -159,7 +159,7 @@
       followsClosely: () => this.#storeDuty.followsClosely(performance.now()),
       isTold: () => this.#storeDuty.isTold(performance.now()),
       standsBy: () => !this.#peers.standing.active,
-      peersMissStore: () => this.#peers.peerTable.storeIsAway(performance.now()),
+      peersMissStore: () => this.#peers.peerTable.isStoreUnreachable(performance.now()),
     });
     this.#peers = new peerLinks.PeerLink({
       settings,
--- a/packages/gateway/src/peerTable.ts
+++ b/packages/gateway/src/peerTable.ts
@@ -125,7 +125,7 @@
    * @param now - current instant in milliseconds
    * @returns whether the key-value service answers none or few of those that speak: it is away, not one daemon
    */
-  storeIsAway(now: number): boolean {
+  isStoreUnreachable(now: number): boolean {
     // Those that stand by don't ask it.
     const asking = this.live(now).filter((state) => state.deciding);
     const silent = asking.filter((state) => state.storeSilentMs > STORE_SILENT_MS);
--- a/packages/gateway/tests/peerTable.test.ts
+++ b/packages/gateway/tests/peerTable.test.ts
@@ -206,9 +206,9 @@
   book.hear(state("vm-2", 0, { storeSilentMs: 5_000 }));
   book.hear(state("vm-3", 0));
   book.hear(state("vm-4", 0));
-  assert.not.ok(book.storeIsAway(0));
+  assert.not.ok(book.isStoreUnreachable(0));
   book.hear(state("vm-3", 0, { storeSilentMs: 4_000 }));
-  assert.ok(book.storeIsAway(0));
+  assert.ok(book.isStoreUnreachable(0));
 });
 
 suite.run();
