--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -263,7 +263,7 @@
 
   #isActive(vm: string, now: number): boolean {
     if (this.#peers.standing.names.includes(vm)) return true;
-    return this.#peers.peerTable.heard(vm, now)?.active ?? false;
+    return this.#peers.peerTable.liveState(vm, now)?.active ?? false;
   }
 
   /** @returns all metrics in the text format */
--- a/packages/gateway/src/peerLink.ts
+++ b/packages/gateway/src/peerLink.ts
@@ -179,7 +179,7 @@
   #audience(now: number): audiences.Audience {
     const named = new Set(this.peerTable.live(now).flatMap((peer) => peer.activeVms));
     const known = this.#others().map((entry) => {
-      const heard = this.peerTable.heard(entry.vm, now);
+      const heard = this.peerTable.liveState(entry.vm, now);
       return {
         entry,
         live: heard !== undefined,
--- a/packages/gateway/src/peerTable.ts
+++ b/packages/gateway/src/peerTable.ts
@@ -116,7 +116,7 @@
    * @param now - current instant in milliseconds
    * @returns what it last said, if it speaks
    */
-  heard(vm: string, now: number): PeerState | undefined {
+  liveState(vm: string, now: number): PeerState | undefined {
     const state = this.#states.get(vm);
     return state !== undefined && isLive(state, now) ? state : undefined;
   }
--- a/packages/gateway/tests/helpers/talkingFleet.ts
+++ b/packages/gateway/tests/helpers/talkingFleet.ts
@@ -42,7 +42,7 @@
     const hasChanged = this.standing.look(now);
     const named = new Set(this.book.live(now).flatMap(({ activeVms: names }) => names));
     const known = others.map((entry) => {
-      const heard = this.book.heard(entry.vm, now);
+      const heard = this.book.liveState(entry.vm, now);
       return {
         entry,
         live: heard !== undefined,
