--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -158,7 +158,7 @@
       draw: () => random.next(),
       followsClosely: () => this.#storeDuty.followsClosely(performance.now()),
       isTold: () => this.#storeDuty.isTold(performance.now()),
-      standsBy: () => !this.#peers.standing.active,
+      standsBy: () => !this.#peers.activeSet.active,
       peersMissStore: () => this.#peers.peerTable.isStoreUnreachable(performance.now()),
     });
     this.#peers = new peerLinks.PeerLink({
@@ -186,7 +186,7 @@
       entry: this.#entry,
       view: this.#view,
       peerTable: this.#peers.peerTable,
-      standing: this.#peers.standing,
+      activeSet: this.#peers.activeSet,
       ready: () => this.ready,
     });
     this.#authority = new orderAuthorities.OrderAuthority({
@@ -252,7 +252,7 @@
     const others = [...this.#view.daemons.values()].filter(
       (daemon) => daemon.vm !== this.#entry.vm && daemon.callers !== "",
     );
-    const { names } = this.#peers.standing;
+    const { names } = this.#peers.activeSet;
     const available = others.filter(({ vm }) => names.includes(vm) || this.#peers.peerTable.mayTakeCallers(vm, now));
     if (this.ready) available.push(this.#entry);
     const active = available.filter((daemon) => this.#isActive(daemon.vm, now));
@@ -262,7 +262,7 @@
   }
 
   #isActive(vm: string, now: number): boolean {
-    if (this.#peers.standing.names.includes(vm)) return true;
+    if (this.#peers.activeSet.names.includes(vm)) return true;
     return this.#peers.peerTable.liveState(vm, now)?.active ?? false;
   }
 
@@ -275,7 +275,7 @@
       daemons_known: this.#view.daemons.size,
       daemons_heard: this.#peers.peerTable.live(performance.now()).length,
       suspects: this.#context.suspects.table.count(performance.now()),
-      takes_callers: Number(this.#peers.standing.active),
+      takes_callers: Number(this.#peers.activeSet.active),
       busy_cores: this.#utilization.share * this.#settings.capacity,
       heap_bytes: process.memoryUsage().heapUsed,
       event_loop_utilization: performance.eventLoopUtilization().utilization,
@@ -339,7 +339,7 @@
   #isOrderCandidate(): boolean {
     if (!this.ready || this.#follower.silentMs > peerTables.STORE_SILENT_MS) return false;
     // A standby daemon hears only from a part of the fleet, and would wrongly consider itself the candidate.
-    if (!this.#peers.standing.active) return false;
+    if (!this.#peers.activeSet.active) return false;
     const peers = this.#peers.peerTable
       .live(performance.now())
       .filter((peer) => peer.ready && peer.active && peer.storeSilentMs <= peerTables.STORE_SILENT_MS);
--- a/packages/gateway/src/peerLink.ts
+++ b/packages/gateway/src/peerLink.ts
@@ -11,7 +11,7 @@
 import * as peerPulses from "./peerPulse.js";
 import * as peerWorks from "./peerWork.js";
 import * as audiences from "./peers/audience.js";
-import * as standings from "./peers/standing.js";
+import * as standings from "./peers/activeSetTracker.js";
 import * as suspectCodec from "./suspects/suspectCodec.js";
 import * as toldChanges from "./peers/toldChanges.js";
 import type * as settingsModule from "./settings.js";
@@ -67,7 +67,7 @@
 export class PeerLink {
   readonly peerTable: peerBooks.PeerTable;
   /** Whether this daemon takes callers, and who does. */
-  readonly standing: standings.Standing;
+  readonly activeSet: standings.Standing;
   readonly #parts: PeerLinkParts;
   readonly #pulse: peerPulses.PeerPulse;
   readonly #teller = new peerNews.NewsTeller();
@@ -86,7 +86,7 @@
   constructor(parts: PeerLinkParts) {
     this.#parts = parts;
     this.peerTable = new peerBooks.PeerTable(parts.entry.vm);
-    this.standing = new standings.Standing({ ...parts, book: this.peerTable });
+    this.activeSet = new standings.Standing({ ...parts, book: this.peerTable });
     this.#work = new peerWorks.PeerWork(parts);
     this.#changes = new toldChanges.ToldChanges(parts.view);
     this.#pulse = new peerPulses.PeerPulse(
@@ -121,7 +121,7 @@
 
   /** @param id - an endpoint whose entry has changed: those that read for others tell it, and hosts pass it on */
   noteEntry(id: string): void {
-    if (this.#parts.followsClosely() || this.standing.host) this.#changes.noteEntry(id, performance.now());
+    if (this.#parts.followsClosely() || this.activeSet.host) this.#changes.noteEntry(id, performance.now());
   }
 
   /**
@@ -139,18 +139,18 @@
   /** Says at once what has changed, such as that this daemon is leaving. */
   sayNow(): void {
     const now = performance.now();
-    this.standing.look(now);
+    this.activeSet.look(now);
     this.#say(now, this.#audience(now), { often: true, seldom: true });
   }
 
   /** @returns whether this daemon takes callers, or has work of theirs */
   get #deciding(): boolean {
-    return this.standing.active || this.#parts.board.ownWork().size > 0;
+    return this.activeSet.active || this.#parts.board.ownWork().size > 0;
   }
 
   #beat(): void {
     const now = performance.now();
-    const hasChanged = this.standing.look(now);
+    const hasChanged = this.activeSet.look(now);
     const audience = this.#audience(now);
     const news = this.#parts.board.hasUnsentReads || this.#workText() !== this.#saidWork;
     this.#say(now, audience, {
@@ -188,7 +188,7 @@
       };
     });
     const { dataCentre } = this.#parts.entry;
-    const own = { dataCentre, deciding: this.#deciding, host: this.standing.host };
+    const own = { dataCentre, deciding: this.#deciding, host: this.activeSet.host };
     return audiences.audienceOf(own, known, this.#turn);
   }
 
@@ -247,8 +247,8 @@
       callers: entry.callers,
       capacityThousandths: peerWorks.wholeNumber(entry.capacity * THOUSANDTHS),
       busyThousandths: peerWorks.wholeNumber(this.#parts.busyCores() * THOUSANDTHS),
-      active: this.standing.active,
-      activeVms: [...this.standing.names],
+      active: this.activeSet.active,
+      activeVms: [...this.activeSet.names],
       ready: this.#parts.ready(),
       configurationRevision: BigInt(view.configurationRevision),
       storeSilentMs: Math.round(this.#parts.storeSilentMs()),
--- a/packages/gateway/src/storeDuty.ts
+++ b/packages/gateway/src/storeDuty.ts
@@ -1,7 +1,7 @@
 import type * as daemonEntries from "./daemonEntry.js";
 import type * as fleetViews from "./fleetView.js";
 import * as peerBooks from "./peerTable.js";
-import type * as standings from "./peers/standing.js";
+import type * as standings from "./peers/activeSetTracker.js";
 import * as watchDuties from "./watchDuty.js";
 
 /** Time within which a configuration that others have in force is told, in milliseconds. */
@@ -12,7 +12,7 @@
   readonly entry: daemonEntries.DaemonEntry;
   readonly view: fleetViews.FleetView;
   readonly peerTable: peerBooks.PeerTable;
-  readonly standing: standings.Standing;
+  readonly activeSet: standings.Standing;
   /** Whether this daemon can serve callers. */
   readonly ready: () => boolean;
 }
@@ -33,7 +33,7 @@
    * @returns whether this daemon reads for others too
    */
   followsClosely(now: number): boolean {
-    const { entry, view, peerTable: book, standing, ready } = this.#parts;
+    const { entry, view, peerTable: book, activeSet: standing, ready } = this.#parts;
     // One that stands by hears a few only, and can't tell who else reads.
     if (!standing.active && this.#isToldByOthers(now)) return false;
     const able = new Map(
@@ -67,7 +67,7 @@
    * way only.
    */
   #isToldByOthers(now: number): boolean {
-    const { entry, view, peerTable: book, standing, ready } = this.#parts;
+    const { entry, view, peerTable: book, activeSet: standing, ready } = this.#parts;
     const live = book.live(now);
     const isAhead = live.some((peer) => peer.configurationRevision > view.configurationRevision);
     this.#aheadSince = isAhead ? (this.#aheadSince ?? now) : undefined;
