--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -252,7 +252,7 @@
     const others = [...this.#view.daemons.values()].filter(
       (daemon) => daemon.vm !== this.#entry.vm && daemon.callers !== "",
     );
-    const { names } = this.#peers.activeSet;
+    const { activeVms: names } = this.#peers.activeSet;
     const available = others.filter(({ vm }) => names.includes(vm) || this.#peers.peerTable.mayTakeCallers(vm, now));
     if (this.ready) available.push(this.#entry);
     const active = available.filter((daemon) => this.#isActive(daemon.vm, now));
@@ -262,7 +262,7 @@
   }
 
   #isActive(vm: string, now: number): boolean {
-    if (this.#peers.activeSet.names.includes(vm)) return true;
+    if (this.#peers.activeSet.activeVms.includes(vm)) return true;
     return this.#peers.peerTable.liveState(vm, now)?.active ?? false;
   }
 
--- a/packages/gateway/src/peerLink.ts
+++ b/packages/gateway/src/peerLink.ts
@@ -248,7 +248,7 @@
       capacityThousandths: peerWorks.wholeNumber(entry.capacity * THOUSANDTHS),
       busyThousandths: peerWorks.wholeNumber(this.#parts.busyCores() * THOUSANDTHS),
       active: this.activeSet.active,
-      activeVms: [...this.activeSet.names],
+      activeVms: [...this.activeSet.activeVms],
       ready: this.#parts.ready(),
       configurationRevision: BigInt(view.configurationRevision),
       storeSilentMs: Math.round(this.#parts.storeSilentMs()),
--- a/packages/gateway/src/peers/activeSetTracker.ts
+++ b/packages/gateway/src/peers/activeSetTracker.ts
@@ -37,7 +37,7 @@
   }
 
   /** @returns VMs of this data centre that callers are sent to, the most able first */
-  get names(): readonly string[] {
+  get activeVms(): readonly string[] {
     return this.#names;
   }
 
--- a/packages/gateway/tests/activeDaemons.test.ts
+++ b/packages/gateway/tests/activeDaemons.test.ts
@@ -47,7 +47,7 @@
     started.goOn(SETTLED_MS);
     for (const dataCentre of DATA_CENTRES) assert.equal(activeNames(started, dataCentre), largeOf(dataCentre));
     for (const daemon of started.daemons) {
-      assert.equal([...daemon.standing.names].sort(), largeOf(daemon.entry.dataCentre), daemon.entry.vm);
+      assert.equal([...daemon.standing.activeVms].sort(), largeOf(daemon.entry.dataCentre), daemon.entry.vm);
     }
   }
 });
--- a/packages/gateway/tests/helpers/talkingFleet.ts
+++ b/packages/gateway/tests/helpers/talkingFleet.ts
@@ -63,7 +63,7 @@
   /** @returns what it says of itself */
   says(now: number, nextWithinMs: number): peerBooks.PeerState {
     const { vm, dataCentre, capacity } = this.entry;
-    const { active, names } = this.standing;
+    const { active, activeVms: names } = this.standing;
     return {
       vm,
       incarnation: vm,
