--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -113,7 +113,7 @@
       client,
       directory: this.#view.directory,
       onCrashed: () => this.#metrics.count("endpoints_ended"),
-      onEscalated: () => this.#peers.sayNow(),
+      onEscalated: () => this.#peers.sendHeartbeatsNow(),
     });
     const { crashDetector: endDetector, gate: suspects } = this.#protection;
     this.#context = {
@@ -301,7 +301,7 @@
     const heardLateMs = Math.round(heardAt - earliestAt);
     this.#log.info("stop", { open: this.#listener.openRequests, heardLateMs });
     this.#listener.beginShutdown(shutdown);
-    this.#peers.sayNow();
+    this.#peers.sendHeartbeatsNow();
     void this.#registration.end();
     void this.#authority.end();
     this.#roles.stop();
--- a/packages/gateway/src/peerLink.ts
+++ b/packages/gateway/src/peerLink.ts
@@ -132,12 +132,12 @@
    */
   noteConfiguration(): void {
     if (!this.#speaking) return;
-    this.sayNow();
+    this.sendHeartbeatsNow();
     if (this.#parts.followsClosely()) this.#tellNews(performance.now());
   }
 
   /** Says at once what has changed, such as that this daemon is leaving. */
-  sayNow(): void {
+  sendHeartbeatsNow(): void {
     const now = performance.now();
     this.activeSet.look(now);
     this.#say(now, this.#audience(now), { often: true, seldom: true });
--- a/packages/gateway/tests/peerLives.test.ts
+++ b/packages/gateway/tests/peerLives.test.ts
@@ -186,7 +186,7 @@
   pair.view.endpointDocuments.set("short", { value: new Uint8Array(200), revision: 6 });
   pair.link.noteEntry("long");
   pair.link.noteEntry("short");
-  pair.link.sayNow();
+  pair.link.sendHeartbeatsNow();
   const told = (id: string): boolean => pair.heard.some((pulse) => pulse.entries.some((entry) => entry.id === id));
   await until(() => told("short"));
   assert.not.ok(told("long"));
