--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -21,7 +21,7 @@
 import * as roleChangers from "./roleChanger.js";
 import type * as settingsModule from "./settings.js";
 import * as sideServers from "./sideServers.js";
-import * as storeDuties from "./storeDuty.js";
+import * as storeReadingModes from "./storeReadingMode.js";
 import * as storeFollowers from "./storeFollower.js";
 import * as crashProtections from "./suspects/crashProtection.js";
 
@@ -77,7 +77,7 @@
   readonly #registration: registrations.Registration;
   readonly #entry: daemonEntries.DaemonEntry;
   readonly #peers: peerLinks.PeerLink;
-  readonly #storeDuty: storeDuties.StoreDuty;
+  readonly #storeReadingMode: storeReadingModes.StoreReadingMode;
   readonly #protection: crashProtections.CrashProtection;
   readonly #authority: orderAuthorities.OrderAuthority;
   readonly #roles: roleChangers.RoleChanger;
@@ -156,8 +156,8 @@
       log: this.#log,
       metrics: this.#metrics,
       draw: () => random.next(),
-      followsClosely: () => this.#storeDuty.followsClosely(performance.now()),
-      isTold: () => this.#storeDuty.isTold(performance.now()),
+      followsClosely: () => this.#storeReadingMode.followsClosely(performance.now()),
+      isTold: () => this.#storeReadingMode.isTold(performance.now()),
       standsBy: () => !this.#peers.activeSet.active,
       peersMissStore: () => this.#peers.peerTable.isStoreUnreachable(performance.now()),
     });
@@ -173,7 +173,7 @@
       log: this.#log,
       ready: () => this.ready,
       storeSilentMs: () => this.#follower.silentMs,
-      followsClosely: () => this.#storeDuty.followsClosely(performance.now()),
+      followsClosely: () => this.#storeReadingMode.followsClosely(performance.now()),
       busyCores: () => this.#utilization.share * settings.capacity,
       onDaemon: (heard) => fleetViewUpdater.addDiscoveredDaemon(heard),
       onConfiguration: (document, revision) =>
@@ -182,7 +182,7 @@
         fleetViewUpdater.applyEndpoint(id, value, revision, fleetViewUpdaters.Source.Peer),
       onDeparture: (id, departure) => fleetViewUpdater.applyDeparture(id, departure, fleetViewUpdaters.Source.Peer),
     });
-    this.#storeDuty = new storeDuties.StoreDuty({
+    this.#storeReadingMode = new storeReadingModes.StoreReadingMode({
       entry: this.#entry,
       view: this.#view,
       peerTable: this.#peers.peerTable,
--- a/packages/gateway/src/storeDuty.ts
+++ b/packages/gateway/src/storeReadingMode.ts
@@ -18,7 +18,7 @@
 }
 
 /** Whether this daemon reads the key-value service for others, or is told by others, as things are heard now. */
-export class StoreDuty {
+export class StoreReadingMode {
   readonly #parts: StoreDutyParts;
   /** Instant since which others are heard to have a newer configuration in force. */
   #aheadSince: number | undefined;
