--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -157,7 +157,7 @@
       metrics: this.#metrics,
       draw: () => random.next(),
       followsClosely: () => this.#storeReadingMode.followsClosely(performance.now()),
-      isTold: () => this.#storeReadingMode.isTold(performance.now()),
+      isUpdatedByPeers: () => this.#storeReadingMode.isUpdatedByPeers(performance.now()),
       standsBy: () => !this.#peers.activeSet.active,
       peersMissStore: () => this.#peers.peerTable.isStoreUnreachable(performance.now()),
     });
--- a/packages/gateway/src/storeFollower.ts
+++ b/packages/gateway/src/storeFollower.ts
@@ -52,7 +52,7 @@
   /** @returns whether this daemon follows closely, for others too */
   readonly followsClosely: () => boolean;
   /** @returns whether others read for this daemon and tell it what has changed */
-  readonly isTold: () => boolean;
+  readonly isUpdatedByPeers: () => boolean;
   /** @returns whether this daemon takes no callers, and needs no reading of its own while it is told */
   readonly standsBy: () => boolean;
   /** @returns whether the other daemons say that the service is away */
@@ -98,7 +98,7 @@
    */
   async #whileTold(): Promise<void> {
     const since = performance.now();
-    const { isTold, standsBy } = this.#parts;
+    const { isUpdatedByPeers: isTold, standsBy } = this.#parts;
     const rests = (): boolean => isTold() && (standsBy() || performance.now() - since < TOLD_PAUSE_MS);
     while (!this.#stopped && this.#revision !== undefined && !this.#away && rests()) await sleep(PAUSE_CHECK_MS);
     if (performance.now() - since > LIST_AFTER_MS) this.#revision = undefined;
--- a/packages/gateway/src/storeReadingMode.ts
+++ b/packages/gateway/src/storeReadingMode.ts
@@ -58,7 +58,7 @@
    * @param now - current instant in milliseconds
    * @returns whether others read for this daemon and tell it what has changed
    */
-  isTold(now: number): boolean {
+  isUpdatedByPeers(now: number): boolean {
     return !this.followsClosely(now) && this.#isToldByOthers(now);
   }
 
