--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -158,7 +158,7 @@
       draw: () => random.next(),
       followsClosely: () => this.#storeReadingMode.followsClosely(performance.now()),
       isUpdatedByPeers: () => this.#storeReadingMode.isUpdatedByPeers(performance.now()),
-      standsBy: () => !this.#peers.activeSet.active,
+      isStandby: () => !this.#peers.activeSet.active,
       peersMissStore: () => this.#peers.peerTable.isStoreUnreachable(performance.now()),
     });
     this.#peers = new peerLinks.PeerLink({
--- a/packages/gateway/src/storeFollower.ts
+++ b/packages/gateway/src/storeFollower.ts
@@ -54,7 +54,7 @@
   /** @returns whether others read for this daemon and tell it what has changed */
   readonly isUpdatedByPeers: () => boolean;
   /** @returns whether this daemon takes no callers, and needs no reading of its own while it is told */
-  readonly standsBy: () => boolean;
+  readonly isStandby: () => boolean;
   /** @returns whether the other daemons say that the service is away */
   readonly peersMissStore: () => boolean;
 }
@@ -98,7 +98,7 @@
    */
   async #whileTold(): Promise<void> {
     const since = performance.now();
-    const { isUpdatedByPeers: isTold, standsBy } = this.#parts;
+    const { isUpdatedByPeers: isTold, isStandby: standsBy } = this.#parts;
     const rests = (): boolean => isTold() && (standsBy() || performance.now() - since < TOLD_PAUSE_MS);
     while (!this.#stopped && this.#revision !== undefined && !this.#away && rests()) await sleep(PAUSE_CHECK_MS);
     if (performance.now() - since > LIST_AFTER_MS) this.#revision = undefined;
@@ -187,7 +187,7 @@
       this.#away = true;
       log.warn("store-lost", { failure: problem.failure, detail: problem.detail, silentMs: Math.round(awayFor) });
     }
-    const isIdle = this.#revision !== undefined && this.#parts.standsBy();
+    const isIdle = this.#revision !== undefined && this.#parts.isStandby();
     const doubled = Math.min(RETRY_PAUSE_MS.longest, RETRY_PAUSE_MS.first * 2 ** (this.#failures - 1));
     const pause = isIdle ? RETRY_PAUSE_MS.standingBy : doubled;
     return pause * (0.5 + this.#parts.draw() / 2);
