--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -159,7 +159,7 @@
       followsClosely: () => this.#storeReadingMode.followsClosely(performance.now()),
       isUpdatedByPeers: () => this.#storeReadingMode.isUpdatedByPeers(performance.now()),
       isStandby: () => !this.#peers.activeSet.active,
-      peersMissStore: () => this.#peers.peerTable.isStoreUnreachable(performance.now()),
+      isStoreUnreachableForPeers: () => this.#peers.peerTable.isStoreUnreachable(performance.now()),
     });
     this.#peers = new peerLinks.PeerLink({
       settings,
--- a/packages/gateway/src/storeFollower.ts
+++ b/packages/gateway/src/storeFollower.ts
@@ -56,7 +56,7 @@
   /** @returns whether this daemon takes no callers, and needs no reading of its own while it is told */
   readonly isStandby: () => boolean;
   /** @returns whether the other daemons say that the service is away */
-  readonly peersMissStore: () => boolean;
+  readonly isStoreUnreachableForPeers: () => boolean;
 }
 
 /** Follows the configuration, the endpoints and the other daemons in the key-value service. */
@@ -111,7 +111,7 @@
   async #pauseLonger(): Promise<void> {
     const until = performance.now() + SELDOM_PAUSE_MS - WATCH_PAUSE_MS;
     while (!this.#stopped && performance.now() < until && !this.#parts.followsClosely()) {
-      if (!this.#away && this.#parts.peersMissStore()) {
+      if (!this.#away && this.#parts.isStoreUnreachableForPeers()) {
         this.#away = true;
         this.#parts.log.warn("store-lost", { failure: "peers", detail: "most peers get no answer", silentMs: 0 });
         return;
