--- a/packages/gateway/src/fleetView.ts
+++ b/packages/gateway/src/fleetView.ts
@@ -33,7 +33,7 @@
    *
    * @returns a number that errs upwards
    */
-  get daemonsAtMost(): number {
+  get daemonsUpperBound(): number {
     return Math.max(1, this.daemons.size + this.former.count);
   }
 
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -133,7 +133,7 @@
       budgets: new contexts.RetryBudgets(settings.retryBounds, performance.now()),
       random,
       onMisdirected: (endpoint, answeredBy) => fleetViewUpdater.applyMisdirection(endpoint, answeredBy),
-      liveDaemons: () => this.#view.daemonsAtMost,
+      liveDaemons: () => this.#view.daemonsUpperBound,
     };
     this.#listener = new callerListeners.CallerListener(this.#context);
     const fleetViewUpdater = new fleetViewUpdaters.FleetViewUpdater({
--- a/packages/gateway/tests/formerDaemons.test.ts
+++ b/packages/gateway/tests/formerDaemons.test.ts
@@ -70,10 +70,10 @@
   const view = new fleetViews.FleetView();
   view.daemons.set("daemons/vm-1", entry("vm-1"));
   for (const vm of ["vm-2", "vm-3", "vm-4"]) view.former.note(entry(vm), 0);
-  assert.is(view.daemonsAtMost, 4);
+  assert.is(view.daemonsUpperBound, 4);
   view.former.take("vm-2");
   view.daemons.set("daemons/vm-2", entry("vm-2"));
-  assert.is(view.daemonsAtMost, 4);
+  assert.is(view.daemonsUpperBound, 4);
 });
 
 suite.run();
