--- a/packages/gateway/src/fleetView.ts
+++ b/packages/gateway/src/fleetView.ts
@@ -17,7 +17,7 @@
   /** Endpoints' entries as written, to be told to peers that the service doesn't answer. */
   readonly endpointDocuments = new Map<string, { readonly value: Uint8Array; readonly revision: number }>();
   /** Engines that were ordered to take another role and get no new work meanwhile. */
-  readonly changing = new Map<string, EngineInChange>();
+  readonly pendingRoleChanges = new Map<string, EngineInChange>();
   readonly daemons = new Map<string, daemonEntries.DaemonEntry>();
   /** Daemons that have left a short time ago, and may start again. */
   readonly former = new formerDaemons.FormerDaemons();
@@ -48,11 +48,11 @@
    * @returns whether it is on the way to another role
    */
   isChanging(endpoint: serving.Endpoint, now: number): boolean {
-    const change = this.changing.get(endpoint.id);
+    const change = this.pendingRoleChanges.get(endpoint.id);
     if (change === undefined) return false;
     const ofThisLife = change.bornAt === undefined || change.bornAt === endpoint.bornAt;
     if (ofThisLife && change.until > now && change.role !== endpoint.role) return true;
-    this.changing.delete(endpoint.id);
+    this.pendingRoleChanges.delete(endpoint.id);
     return false;
   }
 
@@ -62,7 +62,7 @@
    * @returns the role that it has, or will have once an order is carried out
    */
   roleToCome(endpoint: serving.Endpoint, now: number): serving.EngineRole {
-    const change = this.changing.get(endpoint.id);
+    const change = this.pendingRoleChanges.get(endpoint.id);
     return change !== undefined && this.isChanging(endpoint, now) ? change.role : endpoint.role;
   }
 
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -393,7 +393,7 @@
       this.#forgetEndpoint(update.id);
     }
     if (update.startedAgain !== true) return;
-    this.#view.changing.delete(update.id);
+    this.#view.pendingRoleChanges.delete(update.id);
     this.#forgetEndpoint(update.id);
   }
 
--- a/packages/gateway/src/peerLink.ts
+++ b/packages/gateway/src/peerLink.ts
@@ -257,7 +257,7 @@
       entries: this.#changes.entries(now),
       suspects: this.#parts.suspects.recordsToPublish(now).map(suspectCodec.toMessage),
       tryingSuspect: this.#parts.suspects.isRunningTrial,
-      changing: [...view.changing]
+      changing: [...view.pendingRoleChanges]
         .filter(([, change]) => change.until > now)
         .map(([endpoint, change]) => ({
           endpoint,
@@ -307,9 +307,16 @@
     this.#work.hear(pulse, now, expiryMs);
     for (const { endpoint, role, forMs, startedAtMs } of pulse.changing) {
       const bornAt = toldLives.fromMessage(startedAtMs);
-      if (this.#parts.view.changing.has(endpoint) || toldLives.isOfAnotherLife(this.#parts.view, endpoint, bornAt))
+      if (
+        this.#parts.view.pendingRoleChanges.has(endpoint) ||
+        toldLives.isOfAnotherLife(this.#parts.view, endpoint, bornAt)
+      )
         continue;
-      this.#parts.view.changing.set(endpoint, { until: now + forMs, role: role as serving.EngineRole, bornAt });
+      this.#parts.view.pendingRoleChanges.set(endpoint, {
+        until: now + forMs,
+        role: role as serving.EngineRole,
+        bornAt,
+      });
     }
     for (const entry of pulse.entries) this.#parts.onEndpoint(entry.id, entry.value, Number(entry.revision));
     this.#takeDepartures(pulse.departures);
--- a/packages/gateway/src/roleChanger.ts
+++ b/packages/gateway/src/roleChanger.ts
@@ -172,7 +172,7 @@
     const { context, authority } = this.#parts;
     const { log, view } = context;
     const until = performance.now() + CHANGING_MS;
-    view.changing.set(engine.id, { until, role: change.role, bornAt: engine.bornAt });
+    view.pendingRoleChanges.set(engine.id, { until, role: change.role, bornAt: engine.bornAt });
     const status = await this.#calls.sendRoleOrder(engine, order);
     log.info("role-change", {
       endpoint: engine.id,
@@ -187,7 +187,7 @@
     context.metrics.count("role_orders");
     if (status === PRECONDITION_FAILED) authority.refused();
     const accepted = status === undefined ? await this.#wasAccepted(engine, order) : isAcceptance(status);
-    if (!accepted) view.changing.delete(engine.id);
+    if (!accepted) view.pendingRoleChanges.delete(engine.id);
     return accepted;
   }
 
--- a/packages/gateway/tests/peerLives.test.ts
+++ b/packages/gateway/tests/peerLives.test.ts
@@ -147,14 +147,14 @@
   pair.view.directory.put(engine(SECOND), 5);
   const change = { endpoint: "e1", role: "prefill", forMs: 12_000 };
   await pair.hear({ changing: [{ ...change, startedAtMs: BigInt(FIRST) }] });
-  assert.not.ok(pair.view.changing.has("e1"));
+  assert.not.ok(pair.view.pendingRoleChanges.has("e1"));
   await pair.hear({ changing: [{ ...change, startedAtMs: BigInt(SECOND) }] });
   assert.ok(pair.view.isChanging(engine(SECOND), performance.now()));
 });
 
 suite("an order that was noted for the former life ends with it", () => {
   const until = performance.now() + 12_000;
-  pair.view.changing.set("e1", { until, role: serving.EngineRole.Prefill, bornAt: FIRST });
+  pair.view.pendingRoleChanges.set("e1", { until, role: serving.EngineRole.Prefill, bornAt: FIRST });
   assert.ok(pair.view.isChanging(engine(FIRST), performance.now()));
   assert.not.ok(pair.view.isChanging(engine(SECOND), performance.now()));
 });
