--- a/packages/gateway/src/fleetView.ts
+++ b/packages/gateway/src/fleetView.ts
@@ -47,7 +47,7 @@
    * @param now - current instant in milliseconds
    * @returns whether it is on the way to another role
    */
-  isChanging(endpoint: serving.Endpoint, now: number): boolean {
+  isChangingRole(endpoint: serving.Endpoint, now: number): boolean {
     const change = this.pendingRoleChanges.get(endpoint.id);
     if (change === undefined) return false;
     const ofThisLife = change.bornAt === undefined || change.bornAt === endpoint.bornAt;
@@ -63,7 +63,7 @@
    */
   roleToCome(endpoint: serving.Endpoint, now: number): serving.EngineRole {
     const change = this.pendingRoleChanges.get(endpoint.id);
-    return change !== undefined && this.isChanging(endpoint, now) ? change.role : endpoint.role;
+    return change !== undefined && this.isChangingRole(endpoint, now) ? change.role : endpoint.role;
   }
 
   /** @returns revision of the configuration in force, 0 if none is known */
--- a/packages/gateway/src/roleChanger.ts
+++ b/packages/gateway/src/roleChanger.ts
@@ -99,7 +99,7 @@
       role: view.roleToCome(engine, now),
       running: board.runningRequests(engine.id, now),
       slots: engine.slots,
-      changing: view.isChanging(engine, now),
+      changing: view.isChangingRole(engine, now),
       failedAt: this.#failedAt.get(engine.id),
     }));
     return this.#balance(service).decide({
--- a/packages/gateway/src/sendChooser.ts
+++ b/packages/gateway/src/sendChooser.ts
@@ -83,7 +83,7 @@
     const now = performance.now();
     const available = view.directory
       .availableEndpoints(this.#served.service)
-      .filter((endpoint) => !this.#served.wasTried(endpoint.id) && !view.isChanging(endpoint, now))
+      .filter((endpoint) => !this.#served.wasTried(endpoint.id) && !view.isChangingRole(endpoint, now))
       .filter((endpoint) =>
         client.hasRoom(endpoint.id, definition?.maxConnections ?? Number.MAX_SAFE_INTEGER, daemons),
       );
--- a/packages/gateway/tests/peerLives.test.ts
+++ b/packages/gateway/tests/peerLives.test.ts
@@ -149,14 +149,14 @@
   await pair.hear({ changing: [{ ...change, startedAtMs: BigInt(FIRST) }] });
   assert.not.ok(pair.view.pendingRoleChanges.has("e1"));
   await pair.hear({ changing: [{ ...change, startedAtMs: BigInt(SECOND) }] });
-  assert.ok(pair.view.isChanging(engine(SECOND), performance.now()));
+  assert.ok(pair.view.isChangingRole(engine(SECOND), performance.now()));
 });
 
 suite("an order that was noted for the former life ends with it", () => {
   const until = performance.now() + 12_000;
   pair.view.pendingRoleChanges.set("e1", { until, role: serving.EngineRole.Prefill, bornAt: FIRST });
-  assert.ok(pair.view.isChanging(engine(FIRST), performance.now()));
-  assert.not.ok(pair.view.isChanging(engine(SECOND), performance.now()));
+  assert.ok(pair.view.isChangingRole(engine(FIRST), performance.now()));
+  assert.not.ok(pair.view.isChangingRole(engine(SECOND), performance.now()));
 });
 
 // Daemons of the older form tell no start, and endpoints of the older form say none. Both are believed as before.
@@ -164,7 +164,7 @@
   const change = { endpoint: "e1", role: "prefill", forMs: 12_000 };
   pair.view.directory.put(engine(SECOND), 5);
   await pair.hear({ changing: [change] });
-  assert.ok(pair.view.isChanging(engine(SECOND), performance.now()));
+  assert.ok(pair.view.isChangingRole(engine(SECOND), performance.now()));
 });
 
 // Parts that the former life read are told late. Taken for kept, prompts would go there as to their home.
