--- a/packages/gateway/src/fleetView.ts
+++ b/packages/gateway/src/fleetView.ts
@@ -61,7 +61,7 @@
    * @param now - current instant in milliseconds
    * @returns the role that it has, or will have once an order is carried out
    */
-  roleToCome(endpoint: serving.Endpoint, now: number): serving.EngineRole {
+  targetRole(endpoint: serving.Endpoint, now: number): serving.EngineRole {
     const change = this.pendingRoleChanges.get(endpoint.id);
     return change !== undefined && this.isChangingRole(endpoint, now) ? change.role : endpoint.role;
   }
--- a/packages/gateway/src/roleChanger.ts
+++ b/packages/gateway/src/roleChanger.ts
@@ -96,7 +96,7 @@
     const now = performance.now();
     const engines = view.directory.availableEndpoints(service).map((engine) => ({
       id: engine.id,
-      role: view.roleToCome(engine, now),
+      role: view.targetRole(engine, now),
       running: board.runningRequests(engine.id, now),
       slots: engine.slots,
       changing: view.isChangingRole(engine, now),
