--- a/packages/gateway/src/peerLink.ts
+++ b/packages/gateway/src/peerLink.ts
@@ -220,7 +220,7 @@
       this.#saidAt.often = now;
       this.#saidWork = this.#workText();
       const nextMs = Math.max(QUIET_PULSE_MS, serving.heartbeatIntervalMs(audience.often.length));
-      const nextWithinMs = peerWorks.wholeNumber(nextMs);
+      const nextWithinMs = peerWorks.toUint32(nextMs);
       const pulse = protobuf.create(messages.PulseSchema, {
         ...state,
         ...this.#work.tell(now),
@@ -245,8 +245,8 @@
       incarnation: entry.incarnation,
       dataCentre: entry.dataCentre,
       callers: entry.callers,
-      capacityThousandths: peerWorks.wholeNumber(entry.capacity * THOUSANDTHS),
-      busyThousandths: peerWorks.wholeNumber(this.#parts.busyCores() * THOUSANDTHS),
+      capacityThousandths: peerWorks.toUint32(entry.capacity * THOUSANDTHS),
+      busyThousandths: peerWorks.toUint32(this.#parts.busyCores() * THOUSANDTHS),
       active: this.activeSet.active,
       activeVms: [...this.activeSet.activeVms],
       ready: this.#parts.ready(),
@@ -385,7 +385,7 @@
     return [...this.#others(), entry]
       .filter((daemon) => live.has(daemon.vm))
       .map(({ capacity, ...daemon }) => {
-        const capacityThousandths = peerWorks.wholeNumber(capacity * THOUSANDTHS);
+        const capacityThousandths = peerWorks.toUint32(capacity * THOUSANDTHS);
         return protobuf.create(messages.DaemonAddressSchema, { ...daemon, capacityThousandths });
       });
   }
--- a/packages/gateway/src/peerWork.ts
+++ b/packages/gateway/src/peerWork.ts
@@ -59,14 +59,14 @@
         protobuf.create(messages.EndpointWorkSchema, {
           endpoint,
           running,
-          unread: unread.map(wholeNumber),
+          unread: unread.map(toUint32),
         }),
       ),
       reads: this.#readMessages(),
       observations: this.#observationMessages(),
       sizes: this.#parts.sizeShares.takeUnsentCounts().map((count) => protobuf.create(messages.SizeCountSchema, count)),
-      readingLoadThousandths: wholeNumber(demand.readingLoad(now) * THOUSANDTHS),
-      eventsPerSecond: wholeNumber(demand.eventsPerMs(now) * MS_PER_SECOND),
+      readingLoadThousandths: toUint32(demand.readingLoad(now) * THOUSANDTHS),
+      eventsPerSecond: toUint32(demand.eventsPerMs(now) * MS_PER_SECOND),
     };
   }
 
@@ -107,11 +107,11 @@
         protobuf.create(messages.ReadObservationSchema, {
           service,
           role,
-          unreadTokens: wholeNumber(observation.unreadTokens),
-          cachedTokens: wholeNumber(observation.cachedTokens),
-          tokensWaiting: wholeNumber(observation.tokensWaiting),
+          unreadTokens: toUint32(observation.unreadTokens),
+          cachedTokens: toUint32(observation.cachedTokens),
+          tokensWaiting: toUint32(observation.tokensWaiting),
           streams: observation.streams,
-          tookMs: wholeNumber(observation.tookMs),
+          tookMs: toUint32(observation.tookMs),
         }),
       ),
     );
@@ -131,6 +131,6 @@
  * @param value - a figure to be told
  * @returns a whole number that a field holds
  */
-export function wholeNumber(value: number): number {
+export function toUint32(value: number): number {
   return Math.min(MOST_IN_FIELD, Math.max(0, Math.round(value)));
 }
--- a/packages/gateway/src/suspects/suspectCodec.ts
+++ b/packages/gateway/src/suspects/suspectCodec.ts
@@ -29,8 +29,8 @@
   return protobuf.create(messages.SuspectSchema, {
     fingerprint: BigInt(`0x${fingerprint}`),
     lives: ends.map(({ life }) => life),
-    endedAgoMs: ends.map(({ agoMs }) => peerWorks.wholeNumber(agoMs)),
-    clearedAgoMs: clearedAgoMs === undefined ? 0 : peerWorks.wholeNumber(clearedAgoMs + AGE_OFFSET_MS),
+    endedAgoMs: ends.map(({ agoMs }) => peerWorks.toUint32(agoMs)),
+    clearedAgoMs: clearedAgoMs === undefined ? 0 : peerWorks.toUint32(clearedAgoMs + AGE_OFFSET_MS),
   });
 }
 
