--- a/packages/gateway/src/orderAuthority.ts
+++ b/packages/gateway/src/orderAuthority.ts
@@ -85,7 +85,7 @@
   }
 
   /** An engine has refused the token for a higher one: another daemon holds the authority. */
-  refused(): void {
+  onTokenRefused(): void {
     this.#drop("an engine has seen a higher token");
   }
 
--- a/packages/gateway/src/roleChanger.ts
+++ b/packages/gateway/src/roleChanger.ts
@@ -185,7 +185,7 @@
       status: status ?? "no answer",
     });
     context.metrics.count("role_orders");
-    if (status === PRECONDITION_FAILED) authority.refused();
+    if (status === PRECONDITION_FAILED) authority.onTokenRefused();
     const accepted = status === undefined ? await this.#wasAccepted(engine, order) : isAcceptance(status);
     if (!accepted) view.pendingRoleChanges.delete(engine.id);
     return accepted;
--- a/packages/gateway/tests/orderAuthority.test.ts
+++ b/packages/gateway/tests/orderAuthority.test.ts
@@ -153,7 +153,7 @@
   const store = new LeaseStore();
   const holder = authority(store, "vm-1");
   await tokenOf(holder);
-  holder.refused();
+  holder.onTokenRefused();
   assert.is(holder.token(), undefined);
   await holder.end();
 });
