--- a/packages/gateway/src/peerLink.ts
+++ b/packages/gateway/src/peerLink.ts
@@ -8,14 +8,14 @@
 import type * as fleetViews from "./fleetView.js";
 import * as peerBooks from "./peerTable.js";
 import * as peerNews from "./peerNews.js";
-import * as peerPulses from "./peerPulse.js";
+import * as peerPulses from "./heartbeatSocket.js";
 import * as peerWorks from "./peerWork.js";
-import * as audiences from "./peers/audience.js";
+import * as audiences from "./peers/recipients.js";
 import * as standings from "./peers/activeSetTracker.js";
 import * as suspectCodec from "./suspects/suspectCodec.js";
-import * as toldChanges from "./peers/toldChanges.js";
+import * as toldChanges from "./peers/recentChanges.js";
 import type * as settingsModule from "./settings.js";
-import * as toldLives from "./toldLives.js";
+import * as toldLives from "./endpointIncarnation.js";
 
 /** Pulses in the time after which a daemon's word of its work has expired. */
 const PULSES_UNTIL_EXPIRED = 2.2;
--- a/packages/gateway/src/peerWork.ts
+++ b/packages/gateway/src/peerWork.ts
@@ -3,7 +3,7 @@
 import * as serving from "@camphorcourse/serving";
 import type * as fleetViews from "./fleetView.js";
 import type * as peerBooks from "./peerTable.js";
-import * as toldLives from "./toldLives.js";
+import * as toldLives from "./endpointIncarnation.js";
 
 /** Messages tell a load in whole thousandths. */
 const THOUSANDTHS = 1_000;
--- a/packages/gateway/src/peers/toldChanges.ts
+++ b/packages/gateway/src/peers/recentChanges.ts
@@ -2,7 +2,7 @@
 import * as messages from "@camphorcourse/protocol/gateway";
 import type * as beliefsModule from "../fleetViewUpdater.js";
 import type * as fleetViews from "../fleetView.js";
-import * as toldLives from "../toldLives.js";
+import * as toldLives from "../endpointIncarnation.js";
 
 /** Time for which an entry that was read is told in each pulse, in milliseconds: several pulses, as some are lost. */
 const ENTRY_TOLD_MS = 1_500;
--- a/packages/gateway/src/storeReadingMode.ts
+++ b/packages/gateway/src/storeReadingMode.ts
@@ -2,7 +2,7 @@
 import type * as fleetViews from "./fleetView.js";
 import * as peerBooks from "./peerTable.js";
 import type * as standings from "./peers/activeSetTracker.js";
-import * as watchDuties from "./watchDuty.js";
+import * as watchDuties from "./closeFollowers.js";
 
 /** Time within which a configuration that others have in force is told, in milliseconds. */
 const TOLD_WITHIN_MS = 400;
--- a/packages/gateway/tests/activeDaemons.test.ts
+++ b/packages/gateway/tests/activeDaemons.test.ts
@@ -1,7 +1,7 @@
 import * as uvu from "uvu";
 import * as assert from "uvu/assert";
 import type * as daemonEntries from "../src/daemonEntry.js";
-import * as talkingFleets from "./helpers/talkingFleet.js";
+import * as talkingFleets from "./helpers/simulatedFleet.js";
 
 const suite = uvu.suite("daemons that take callers, as they hear each other");
 
--- a/packages/gateway/tests/watchDuty.test.ts
+++ b/packages/gateway/tests/closeFollowers.test.ts
@@ -1,6 +1,6 @@
 import * as uvu from "uvu";
 import * as assert from "uvu/assert";
-import * as watchDuties from "../src/watchDuty.js";
+import * as watchDuties from "../src/closeFollowers.js";
 
 const suite = uvu.suite("who follows the key-value service closely");
 
--- a/packages/gateway/tests/peerPulse.test.ts
+++ b/packages/gateway/tests/heartbeatSocket.test.ts
@@ -3,7 +3,7 @@
 import * as messages from "@camphorcourse/protocol/gateway";
 import * as uvu from "uvu";
 import * as assert from "uvu/assert";
-import * as peerPulses from "../src/peerPulse.js";
+import * as peerPulses from "../src/heartbeatSocket.js";
 
 const PORT = 31_700 + (process.pid % 1_000);
 
--- a/packages/gateway/tests/helpers/talkingFleet.ts
+++ b/packages/gateway/tests/helpers/simulatedFleet.ts
@@ -2,7 +2,7 @@
 import * as decisionLogs from "../../src/decisionLog.js";
 import type * as daemonEntries from "../../src/daemonEntry.js";
 import * as peerBooks from "../../src/peerTable.js";
-import * as audiences from "../../src/peers/audience.js";
+import * as audiences from "../../src/peers/recipients.js";
 import * as standings from "../../src/peers/activeSetTracker.js";
 
 /** Interval of the pulses to daemons that need not know the work, in milliseconds, as in the gateway. */
