--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -3,7 +3,7 @@
 import * as common from "@camphorcourse/common";
 import * as serving from "@camphorcourse/serving";
 import type * as hono from "hono";
-import * as beliefsModule from "./beliefs.js";
+import * as fleetViewUpdaters from "./fleetViewUpdater.js";
 import * as callerListeners from "./callerListener.js";
 import * as contexts from "./context.js";
 import * as decisionLogs from "./decisionLog.js";
@@ -14,14 +14,14 @@
 import * as loopWatches from "./loopWatch.js";
 import * as metricsModule from "./metrics.js";
 import * as orderAuthorities from "./orderAuthority.js";
-import * as peerBooks from "./peerBook.js";
+import * as peerTables from "./peerTable.js";
 import * as peerLinks from "./peerLink.js";
 import type * as ports from "./ports.js";
 import * as registrations from "./registration.js";
 import * as roleChangers from "./roleChanger.js";
 import type * as settingsModule from "./settings.js";
 import * as sideServers from "./sideServers.js";
-import * as storeDuties from "./storeDuty.js";
+import * as storeReadingModes from "./storeReadingMode.js";
 import * as storeFollowers from "./storeFollower.js";
 import * as crashProtections from "./suspects/crashProtection.js";
 
@@ -77,7 +77,7 @@
   readonly #registration: registrations.Registration;
   readonly #entry: daemonEntries.DaemonEntry;
   readonly #peers: peerLinks.PeerLink;
-  readonly #storeDuty: storeDuties.StoreDuty;
+  readonly #storeReadingMode: storeReadingModes.StoreReadingMode;
   readonly #protection: crashProtections.CrashProtection;
   readonly #authority: orderAuthorities.OrderAuthority;
   readonly #roles: roleChangers.RoleChanger;
@@ -113,7 +113,7 @@
       client,
       directory: this.#view.directory,
       onCrashed: () => this.#metrics.count("endpoints_ended"),
-      onEscalated: () => this.#peers.sayNow(),
+      onEscalated: () => this.#peers.sendHeartbeatsNow(),
     });
     const { crashDetector: endDetector, gate: suspects } = this.#protection;
     this.#context = {
@@ -132,11 +132,11 @@
       suspects,
       budgets: new contexts.RetryBudgets(settings.retryBounds, performance.now()),
       random,
-      onMisdirected: (endpoint, answeredBy) => beliefs.takeMisdirected(endpoint, answeredBy),
-      liveDaemons: () => this.#view.daemonsAtMost,
+      onMisdirected: (endpoint, answeredBy) => fleetViewUpdater.applyMisdirection(endpoint, answeredBy),
+      liveDaemons: () => this.#view.daemonsUpperBound,
     };
     this.#listener = new callerListeners.CallerListener(this.#context);
-    const beliefs = new beliefsModule.Beliefs({
+    const fleetViewUpdater = new fleetViewUpdaters.FleetViewUpdater({
       layout: dependencies.layout,
       view: this.#view,
       log: this.#log,
@@ -152,14 +152,14 @@
       store: dependencies.store,
       layout: dependencies.layout,
       view: this.#view,
-      beliefs,
+      fleetViewUpdater,
       log: this.#log,
       metrics: this.#metrics,
       draw: () => random.next(),
-      followsClosely: () => this.#storeDuty.followsClosely(performance.now()),
-      isTold: () => this.#storeDuty.isTold(performance.now()),
-      standsBy: () => !this.#peers.standing.active,
-      peersMissStore: () => this.#peers.book.storeIsAway(performance.now()),
+      followsClosely: () => this.#storeReadingMode.followsClosely(performance.now()),
+      isUpdatedByPeers: () => this.#storeReadingMode.isUpdatedByPeers(performance.now()),
+      isStandby: () => !this.#peers.activeSet.active,
+      isStoreUnreachableForPeers: () => this.#peers.peerTable.isStoreUnreachable(performance.now()),
     });
     this.#peers = new peerLinks.PeerLink({
       settings,
@@ -173,18 +173,20 @@
       log: this.#log,
       ready: () => this.ready,
       storeSilentMs: () => this.#follower.silentMs,
-      followsClosely: () => this.#storeDuty.followsClosely(performance.now()),
+      followsClosely: () => this.#storeReadingMode.followsClosely(performance.now()),
       busyCores: () => this.#utilization.share * settings.capacity,
-      onDaemon: (heard) => beliefs.takeHeardDaemon(heard),
-      onConfiguration: (document, revision) => beliefs.takeConfiguration(document, revision, beliefsModule.Source.Peer),
-      onEndpoint: (id, value, revision) => beliefs.takeEndpoint(id, value, revision, beliefsModule.Source.Peer),
-      onDeparture: (id, departure) => beliefs.takeDeparture(id, departure, beliefsModule.Source.Peer),
+      onDaemon: (heard) => fleetViewUpdater.addDiscoveredDaemon(heard),
+      onConfiguration: (document, revision) =>
+        fleetViewUpdater.applyConfiguration(document, revision, fleetViewUpdaters.Source.Peer),
+      onEndpoint: (id, value, revision) =>
+        fleetViewUpdater.applyEndpoint(id, value, revision, fleetViewUpdaters.Source.Peer),
+      onDeparture: (id, departure) => fleetViewUpdater.applyDeparture(id, departure, fleetViewUpdaters.Source.Peer),
     });
-    this.#storeDuty = new storeDuties.StoreDuty({
+    this.#storeReadingMode = new storeReadingModes.StoreReadingMode({
       entry: this.#entry,
       view: this.#view,
-      book: this.#peers.book,
-      standing: this.#peers.standing,
+      peerTable: this.#peers.peerTable,
+      activeSet: this.#peers.activeSet,
       ready: () => this.ready,
     });
     this.#authority = new orderAuthorities.OrderAuthority({
@@ -250,8 +252,8 @@
     const others = [...this.#view.daemons.values()].filter(
       (daemon) => daemon.vm !== this.#entry.vm && daemon.callers !== "",
     );
-    const { names } = this.#peers.standing;
-    const available = others.filter(({ vm }) => names.includes(vm) || this.#peers.book.mayTakeCallers(vm, now));
+    const { activeVms: names } = this.#peers.activeSet;
+    const available = others.filter(({ vm }) => names.includes(vm) || this.#peers.peerTable.mayTakeCallers(vm, now));
     if (this.ready) available.push(this.#entry);
     const active = available.filter((daemon) => this.#isActive(daemon.vm, now));
     const choices = [active, available].map((daemons) => daemons.filter((daemon) => daemon.dataCentre === dataCentre));
@@ -260,8 +262,8 @@
   }
 
   #isActive(vm: string, now: number): boolean {
-    if (this.#peers.standing.names.includes(vm)) return true;
-    return this.#peers.book.heard(vm, now)?.active ?? false;
+    if (this.#peers.activeSet.activeVms.includes(vm)) return true;
+    return this.#peers.peerTable.liveState(vm, now)?.active ?? false;
   }
 
   /** @returns all metrics in the text format */
@@ -271,9 +273,9 @@
       configuration_revision: this.#view.configurationRevision,
       store_revision: this.#view.directory.revision,
       daemons_known: this.#view.daemons.size,
-      daemons_heard: this.#peers.book.live(performance.now()).length,
+      daemons_heard: this.#peers.peerTable.live(performance.now()).length,
       suspects: this.#context.suspects.table.count(performance.now()),
-      takes_callers: Number(this.#peers.standing.active),
+      takes_callers: Number(this.#peers.activeSet.active),
       busy_cores: this.#utilization.share * this.#settings.capacity,
       heap_bytes: process.memoryUsage().heapUsed,
       event_loop_utilization: performance.eventLoopUtilization().utilization,
@@ -299,7 +301,7 @@
     const heardLateMs = Math.round(heardAt - earliestAt);
     this.#log.info("stop", { open: this.#listener.openRequests, heardLateMs });
     this.#listener.beginShutdown(shutdown);
-    this.#peers.sayNow();
+    this.#peers.sendHeartbeatsNow();
     void this.#registration.end();
     void this.#authority.end();
     this.#roles.stop();
@@ -335,12 +337,12 @@
    * renew its lease, and nobody would issue orders.
    */
   #isOrderCandidate(): boolean {
-    if (!this.ready || this.#follower.silentMs > peerBooks.STORE_SILENT_MS) return false;
+    if (!this.ready || this.#follower.silentMs > peerTables.STORE_SILENT_MS) return false;
     // A standby daemon hears only from a part of the fleet, and would wrongly consider itself the candidate.
-    if (!this.#peers.standing.active) return false;
-    const peers = this.#peers.book
+    if (!this.#peers.activeSet.active) return false;
+    const peers = this.#peers.peerTable
       .live(performance.now())
-      .filter((peer) => peer.ready && peer.active && peer.storeSilentMs <= peerBooks.STORE_SILENT_MS);
+      .filter((peer) => peer.ready && peer.active && peer.storeSilentMs <= peerTables.STORE_SILENT_MS);
     const names = [this.#entry.vm, ...peers.map((peer) => peer.vm)];
     return common.rendezvousOrder(ORDERS_KEY, names)[0] === this.#entry.vm;
   }
@@ -362,8 +364,8 @@
     });
   }
 
-  #sumOverPeers(valueOf: (peer: peerBooks.PeerState) => number): number {
-    return this.#peers.book.live(performance.now()).reduce((sum, peer) => sum + valueOf(peer), 0);
+  #sumOverPeers(valueOf: (peer: peerTables.PeerState) => number): number {
+    return this.#peers.peerTable.live(performance.now()).reduce((sum, peer) => sum + valueOf(peer), 0);
   }
 
   async #runShutdown(shutdown: serving.GracefulShutdown): Promise<void> {
@@ -391,7 +393,7 @@
       this.#forgetEndpoint(update.id);
     }
     if (update.startedAgain !== true) return;
-    this.#view.changing.delete(update.id);
+    this.#view.pendingRoleChanges.delete(update.id);
     this.#forgetEndpoint(update.id);
   }
 
--- /dev/null
+++ b/packages/gateway/src/peers/recentChanges.ts
@@ -0,0 +1,89 @@
+import * as protobuf from "@bufbuild/protobuf";
+import * as messages from "@camphorcourse/protocol/gateway";
+import type * as fleetViewUpdaters from "../fleetViewUpdater.js";
+import type * as fleetViews from "../fleetView.js";
+import * as endpointIncarnations from "../endpointIncarnation.js";
+
+/**
+ * Time for which a changed entry is repeated in every heartbeat, in milliseconds. It spans several heartbeats, as some
+ * are lost.
+ */
+const ENTRY_REPEAT_MS = 1_500;
+
+/**
+ * Largest entry that is sent in a heartbeat, in bytes; several times the size of an endpoint's own. With another
+ * writer's entry of many kilobytes the heartbeat could not be sent, and this daemon would appear dead. Peers read such
+ * an entry from the key-value service.
+ */
+const MAX_ENTRY_BYTES = 1_000;
+
+/** Time for which a departure is repeated in every heartbeat, in milliseconds. */
+const DEPARTURE_REPEAT_MS = 4_000;
+
+interface RecentDeparture extends fleetViewUpdaters.Departure {
+  readonly sendUntil: number;
+}
+
+/** Recent changes of endpoints. Each is repeated in several heartbeats, because datagrams may be lost. */
+export class RecentChanges {
+  readonly #view: fleetViews.FleetView;
+  readonly #departures = new Map<string, RecentDeparture>();
+  readonly #entries = new Map<string, number>();
+
+  /** @param view - holds the entries to send */
+  constructor(view: fleetViews.FleetView) {
+    this.#view = view;
+  }
+
+  /**
+   * @param id - an endpoint that is leaving, gone or set aside
+   * @param departure - which of these, and since when
+   * @param now - current time in milliseconds
+   */
+  noteDeparture(id: string, departure: fleetViewUpdaters.Departure, now: number): void {
+    this.#departures.set(id, { ...departure, sendUntil: now + DEPARTURE_REPEAT_MS });
+  }
+
+  /**
+   * @param id - an endpoint whose entry has changed
+   * @param now - current time in milliseconds
+   */
+  noteEntry(id: string, now: number): void {
+    this.#entries.set(id, now + ENTRY_REPEAT_MS);
+  }
+
+  /**
+   * @param now - current time in milliseconds
+   * @returns the departures to send now
+   */
+  departures(now: number): messages.Departure[] {
+    for (const [id, departure] of this.#departures) if (departure.sendUntil < now) this.#departures.delete(id);
+    return [...this.#departures].map(([endpoint, { revision, bornAt, setAside }]) =>
+      protobuf.create(messages.DepartureSchema, {
+        endpoint,
+        revision: BigInt(revision),
+        startedAtMs: endpointIncarnations.toMessage(bornAt),
+        setAside,
+      }),
+    );
+  }
+
+  /**
+   * @param now - current time in milliseconds
+   * @returns the current entries to send now
+   */
+  entries(now: number): messages.EndpointEntry[] {
+    const recent: messages.EndpointEntry[] = [];
+    for (const [id, until] of this.#entries) {
+      const document = this.#view.endpointDocuments.get(id);
+      if (until < now || document === undefined) {
+        this.#entries.delete(id);
+        continue;
+      }
+      const { value, revision } = document;
+      if (value.length > MAX_ENTRY_BYTES) continue;
+      recent.push(protobuf.create(messages.EndpointEntrySchema, { id, value, revision: BigInt(revision) }));
+    }
+    return recent;
+  }
+}
--- a/packages/gateway/src/roleChanger.ts
+++ b/packages/gateway/src/roleChanger.ts
@@ -96,10 +96,10 @@
     const now = performance.now();
     const engines = view.directory.availableEndpoints(service).map((engine) => ({
       id: engine.id,
-      role: view.roleToCome(engine, now),
+      role: view.targetRole(engine, now),
       running: board.runningRequests(engine.id, now),
       slots: engine.slots,
-      changing: view.isChanging(engine, now),
+      changing: view.isChangingRole(engine, now),
       failedAt: this.#failedAt.get(engine.id),
     }));
     return this.#balance(service).decide({
@@ -172,7 +172,7 @@
     const { context, authority } = this.#parts;
     const { log, view } = context;
     const until = performance.now() + CHANGING_MS;
-    view.changing.set(engine.id, { until, role: change.role, bornAt: engine.bornAt });
+    view.pendingRoleChanges.set(engine.id, { until, role: change.role, bornAt: engine.bornAt });
     const status = await this.#calls.sendRoleOrder(engine, order);
     log.info("role-change", {
       endpoint: engine.id,
@@ -185,9 +185,9 @@
       status: status ?? "no answer",
     });
     context.metrics.count("role_orders");
-    if (status === PRECONDITION_FAILED) authority.refused();
+    if (status === PRECONDITION_FAILED) authority.onTokenRefused();
     const accepted = status === undefined ? await this.#wasAccepted(engine, order) : isAcceptance(status);
-    if (!accepted) view.changing.delete(engine.id);
+    if (!accepted) view.pendingRoleChanges.delete(engine.id);
     return accepted;
   }
 
