--- a/packages/gateway/src/endpointIncarnation.ts
+++ b/packages/gateway/src/endpointIncarnation.ts
@@ -1,36 +1,36 @@
-/** Which life of an endpoint a peer speaks of. */
+/** Incarnations of endpoints in messages between daemons. An incarnation is identified by its start time. */
 import type * as fleetViews from "./fleetView.js";
 
 /**
- * Messages have no missing number: 0 stands for a start that isn't known.
+ * Converts a start time for a message. Messages have no missing number, so 0 means unknown.
  *
- * @param bornAt - start of an endpoint in Unix milliseconds, if it is known
- * @returns what messages say of it
+ * @param bornAt - start of an endpoint in Unix milliseconds, if known
+ * @returns the value for the message
  */
 export function toMessage(bornAt: number | undefined): bigint {
   return BigInt(bornAt ?? 0);
 }
 
 /**
- * @param startedAtMs - start of an endpoint as a message says it
- * @returns the start in Unix milliseconds, if it is known
+ * @param startedAtMs - start of an endpoint as in a message
+ * @returns the start in Unix milliseconds, if known
  */
 export function fromMessage(startedAtMs: bigint): number | undefined {
   return startedAtMs === 0n ? undefined : Number(startedAtMs);
 }
 
 /**
- * A peer that hasn't heard of a start yet goes on speaking of the life before. An
- * engine that has just come would get no work for an order that it knows nothing
- * of, and prompts for parts that it doesn't have. Peers of an older form tell no
- * life, and are believed as before.
+ * Tells whether a peer reports on another incarnation of an endpoint than the one known here. A peer that doesn't know
+ * of a restart yet continues to report on the previous incarnation. If it were accepted, an engine that has just
+ * restarted would get no work because of an order it never received, and prompts for cached parts it doesn't have.
+ * Older peers send no start time; their reports are accepted.
  *
- * @param view - what is believed here
+ * @param view - the view of the fleet
  * @param id - the endpoint
- * @param toldBornAt - start of the life that a peer speaks of, if it says it
- * @returns whether that is another life than the one believed in
+ * @param peerBornAt - start of the incarnation that the peer reports on, if it is given
+ * @returns whether the two start times are known and differ
  */
-export function isOfAnotherLife(view: fleetViews.FleetView, id: string, toldBornAt: number | undefined): boolean {
+export function isOtherIncarnation(view: fleetViews.FleetView, id: string, peerBornAt: number | undefined): boolean {
   const bornAt = view.directory.bornAtOf(id);
-  return toldBornAt !== undefined && bornAt !== undefined && toldBornAt !== bornAt;
+  return peerBornAt !== undefined && bornAt !== undefined && peerBornAt !== bornAt;
 }
--- a/packages/gateway/src/fleetView.ts
+++ b/packages/gateway/src/fleetView.ts
@@ -2,36 +2,38 @@
 import type * as daemonEntries from "./daemonEntry.js";
 import * as formerDaemons from "./formerDaemons.js";
 
-/** An engine that was ordered to take another role. */
-export interface EngineInChange {
-  /** Instant at which it is used again whatever became of the order, in milliseconds. */
+/** An order to an engine to change its role. */
+export interface PendingRoleChange {
+  /** Time at which the engine is used again, whatever became of the order, in milliseconds. */
   readonly until: number;
   readonly role: serving.EngineRole;
-  /** Start of the life that got the order, in Unix milliseconds, if it says one: a later life knows of no order. */
+  /**
+   * Start of the incarnation that got the order, in Unix milliseconds, if known. A later incarnation knows of no order.
+   */
   readonly bornAt: number | undefined;
 }
 
-/** What this daemon believes of the fleet, from the key-value service and its peers. */
+/** What this daemon knows about the fleet, from the key-value service and its peers. */
 export class FleetView {
   readonly directory = new serving.EndpointDirectory();
-  /** Endpoints' entries as written, to be told to peers that the service doesn't answer. */
+  /** Endpoints' entries as written, for peers that the key-value service doesn't answer. */
   readonly endpointDocuments = new Map<string, { readonly value: Uint8Array; readonly revision: number }>();
-  /** Engines that were ordered to take another role and get no new work meanwhile. */
-  readonly pendingRoleChanges = new Map<string, EngineInChange>();
+  /** Engines that were ordered to change their role, and get no new work meanwhile. */
+  readonly pendingRoleChanges = new Map<string, PendingRoleChange>();
   readonly daemons = new Map<string, daemonEntries.DaemonEntry>();
-  /** Daemons that have left a short time ago, and may start again. */
+  /** Daemons that left recently and may restart. */
   readonly former = new formerDaemons.FormerDaemons();
   #table: serving.RouteTable | undefined;
   #configurationRevision = 0;
   #configurationDocument: Uint8Array | undefined;
 
   /**
-   * Daemons that may be sending now, this one included. Entries lapse while the
-   * key-value service is away, though the daemons live: were these not counted,
-   * each of the others would take a larger share of what they share without a
-   * word, such as repeats, and together they would exceed it.
+   * Upper bound of the number of daemons that may be sending, this one included. Entries lapse while the key-value
+   * service is unreachable although the daemons are alive. If these were not counted, each of the other daemons would
+   * take a larger share of limits that are divided among all without coordination, such as retries, and together they
+   * would exceed them.
    *
-   * @returns a number that errs upwards
+   * @returns a number that is never too low
    */
   get daemonsUpperBound(): number {
     return Math.max(1, this.daemons.size + this.former.count);
@@ -44,22 +46,22 @@
 
   /**
    * @param endpoint - an engine
-   * @param now - current instant in milliseconds
-   * @returns whether it is on the way to another role
+   * @param now - current time in milliseconds
+   * @returns whether it is changing to another role
    */
   isChangingRole(endpoint: serving.Endpoint, now: number): boolean {
     const change = this.pendingRoleChanges.get(endpoint.id);
     if (change === undefined) return false;
-    const ofThisLife = change.bornAt === undefined || change.bornAt === endpoint.bornAt;
-    if (ofThisLife && change.until > now && change.role !== endpoint.role) return true;
+    const isSameIncarnation = change.bornAt === undefined || change.bornAt === endpoint.bornAt;
+    if (isSameIncarnation && change.until > now && change.role !== endpoint.role) return true;
     this.pendingRoleChanges.delete(endpoint.id);
     return false;
   }
 
   /**
    * @param endpoint - an engine
-   * @param now - current instant in milliseconds
-   * @returns the role that it has, or will have once an order is carried out
+   * @param now - current time in milliseconds
+   * @returns its role, or the role it will have once a pending order is carried out
    */
   targetRole(endpoint: serving.Endpoint, now: number): serving.EngineRole {
     const change = this.pendingRoleChanges.get(endpoint.id);
@@ -77,11 +79,11 @@
   }
 
   /**
-   * Puts a configuration into force. It only ever goes forward: a peer or a
-   * reply that lags can't bring an older one back.
+   * Puts a configuration into force. The revision never goes back: an older configuration from a delayed peer or reply
+   * is ignored.
    *
    * @param configuration - the configuration
-   * @param document - the operators' document that it was read from
+   * @param document - the operators' document that it was decoded from
    * @param revision - revision of its write
    * @returns whether it is now in force
    */
--- a/packages/gateway/src/fleetViewUpdater.ts
+++ b/packages/gateway/src/fleetViewUpdater.ts
@@ -5,7 +5,7 @@
 import type * as ports from "./ports.js";
 import * as suspectCodec from "./suspects/suspectCodec.js";
 
-/** Where a belief comes from. */
+/** Source of an update. */
 export enum Source {
   Store = "store",
   Peer = "peer",
@@ -13,42 +13,48 @@
   Endpoint = "endpoint",
 }
 
-/** Why nothing new is sent to an endpoint any more, as it is told to other daemons. */
+/** Why an endpoint gets no new requests, as sent to other daemons. */
 export interface Departure {
-  /** Revision that said so. */
+  /** Revision at which the endpoint departed. */
   readonly revision: number;
-  /** Start of the life that is leaving, in Unix milliseconds; undefined where the entry is gone. */
+  /** Start of the incarnation that is leaving, in Unix milliseconds; undefined if the entry is gone. */
   readonly bornAt: number | undefined;
-  /** Whether another writer's entry stands there. */
+  /** Whether the key holds an unusable entry by another writer. */
   readonly setAside: boolean;
 }
 
-/** What taking beliefs needs. */
-export interface BeliefParts {
+/** Dependencies of {@link FleetViewUpdater}. */
+export interface FleetViewUpdaterParts {
   readonly layout: ports.StoreLayout;
   readonly view: fleetViews.FleetView;
   readonly log: decisionLogs.DecisionLog;
-  /** Called for each change of a belief about an endpoint. */
-  readonly onEndpoint: (news: serving.EndpointUpdate) => void;
-  /** Called when an engine's role was changed, with its service, its role, and how long ago that was, in milliseconds. */
+  /** Called for each change of an endpoint. */
+  readonly onEndpoint: (update: serving.EndpointUpdate) => void;
+  /**
+   * Called when an engine's role was changed, with its service, its role, and how long ago that was, in milliseconds.
+   */
   readonly onRoleChange: (service: string, role: serving.EngineRole, agoMs: number) => void;
-  /** Takes what the key-value service keeps of a request that is rejected. */
+  /** Called with the stored record of a suspect request. */
   readonly onSuspect: (record: serving.SuspectRecord) => void;
   /** Called when a configuration has come into force. */
   readonly onConfiguration: () => void;
 }
 
-/** Decodes what the key-value service or a peer says, and changes the view by it. */
+/** Decodes data from the key-value service and from peers, and updates the view of the fleet. */
 export class FleetViewUpdater {
-  readonly #parts: BeliefParts;
+  readonly #parts: FleetViewUpdaterParts;
   #roleChangeRevision = 0;
 
-  /** @param parts - what it needs */
-  constructor(parts: BeliefParts) {
+  /** @param parts - dependencies */
+  constructor(parts: FleetViewUpdaterParts) {
     this.#parts = parts;
   }
 
-  /** @param listing - everything that the key-value service holds */
+  /**
+   * Applies a full listing: endpoints and daemons that are not in it are removed.
+   *
+   * @param listing - everything in the key-value service
+   */
   applyListing(listing: ports.StoreListing): void {
     const { layout, view } = this.#parts;
     const endpoints: serving.ListedEntry[] = [];
@@ -65,13 +71,13 @@
         continue;
       }
       if (item.key.startsWith(layout.daemonPrefix)) daemons.add(item.key);
-      this.#takeItem(item);
+      this.#applyItem(item);
     }
     const changes = view.directory.applyListing(endpoints, listing.revision, performance.now());
     for (const { key, value, revision } of documents) {
-      this.#keepDocument(key.slice(layout.endpointPrefix.length), value, revision);
+      this.#cacheDocument(key.slice(layout.endpointPrefix.length), value, revision);
     }
-    for (const news of changes) this.#tell(news, Source.Store, faults.get(news.id));
+    for (const update of changes) this.#report(update, Source.Store, faults.get(update.id));
     for (const key of [...view.daemons.keys()]) if (!daemons.has(key)) this.#removeDaemon(key);
   }
 
@@ -79,21 +85,24 @@
   applyEvent(event: ports.StoreEvent): void {
     const { layout, view } = this.#parts;
     if (event.item !== undefined) {
-      this.#takeItem(event.item);
+      this.#applyItem(event.item);
       return;
     }
     if (event.key.startsWith(layout.daemonPrefix)) this.#removeDaemon(event.key);
     if (!event.key.startsWith(layout.endpointPrefix)) return;
-    // A removal just after the service's return may be a lapse of the outage; the listing that follows tells.
+    // Shortly after an outage of the service, a removal may be an entry that lapsed during the outage; the next listing
+    // shows which.
     if (view.directory.isReregistrationGraceActive(performance.now())) return;
     const departure = { revision: event.revision, bornAt: undefined, setAside: false };
     this.applyDeparture(event.key.slice(layout.endpointPrefix.length), departure, Source.Store);
   }
 
   /**
+   * Puts a configuration into force if it is newer than the current one and can be decoded.
+   *
    * @param document - the operators' document
    * @param revision - revision of its write
-   * @param source - who says so
+   * @param source - source of the update
    */
   applyConfiguration(document: Uint8Array, revision: number, source: Source): void {
     const { layout, view, log } = this.#parts;
@@ -120,53 +129,52 @@
    * @param id - the endpoint
    * @param value - its entry
    * @param revision - revision of the entry
-   * @param source - who says so
+   * @param source - source of the update
    */
   applyEndpoint(id: string, value: Uint8Array, revision: number, source: Source): void {
     const { layout, view } = this.#parts;
     const decoded = layout.decodeEndpoint(id, value);
-    const news = decoded.isOk() ? view.directory.put(decoded.value, revision) : view.directory.setAside(id, revision);
-    this.#keepDocument(id, value, revision);
-    if (news !== undefined) this.#tell(news, source, decoded.isErr() ? decoded.error : undefined);
+    const update = decoded.isOk() ? view.directory.put(decoded.value, revision) : view.directory.setAside(id, revision);
+    this.#cacheDocument(id, value, revision);
+    if (update !== undefined) this.#report(update, source, decoded.isErr() ? decoded.error : undefined);
   }
 
   /**
    * @param id - an endpoint that is leaving, gone or set aside
    * @param departure - which of these, and since when
-   * @param source - who says so
+   * @param source - source of the update
    */
   applyDeparture(id: string, departure: Departure, source: Source): void {
     const { directory, endpointDocuments } = this.#parts.view;
     const { revision, bornAt, setAside } = departure;
-    const news = setAside ? directory.setAside(id, revision) : directory.remove(id, revision, bornAt);
+    const update = setAside ? directory.setAside(id, revision) : directory.remove(id, revision, bornAt);
     if (directory.isSetAside(id)) endpointDocuments.delete(id);
-    if (news !== undefined) this.#tell(news, source, setAside ? "another daemon has read it" : undefined);
+    if (update !== undefined) this.#report(update, source, setAside ? "reported by another daemon" : undefined);
   }
 
   /**
-   * An endpoint says that a request was not meant for it. Its address has been
-   * taken over, or its role has changed; a daemon that the news has not reached
-   * would go on sending there and rejecting callers.
+   * Handles an endpoint's answer that a request was not meant for it: its address has been taken over by another
+   * endpoint, or its role has changed. A daemon that has not received this update would continue to send there, and
+   * reject callers.
    *
-   * @param endpoint - the endpoint as believed in
-   * @param answeredBy - the endpoint that is there now, if it says so
+   * @param endpoint - the endpoint as known
+   * @param answeredBy - the endpoint that is there now, if it is given
    */
   applyMisdirection(endpoint: serving.Endpoint, answeredBy: string | undefined): void {
     const { directory } = this.#parts.view;
     const replaced = answeredBy !== undefined && answeredBy !== endpoint.id;
-    const news = replaced ? directory.markReplaced(endpoint) : directory.markRoleDeclined(endpoint);
-    if (news !== undefined) this.#tell(news, Source.Endpoint);
+    const update = replaced ? directory.markReplaced(endpoint) : directory.markRoleDeclined(endpoint);
+    if (update !== undefined) this.#report(update, Source.Endpoint);
   }
 
   /**
-   * A daemon was heard that has not been read of. One that starts while the
-   * key-value service is away hears its peers but could answer none of them, so
-   * nobody would tell it the configuration, and it would serve nobody until the
-   * service returns. It now answers to where it is spoken to from. Where callers
-   * reach it is known from its own word, or from before it left; without it no
-   * caller would be sent there until its entry can be written.
+   * Adds a daemon that sent a heartbeat or was reported by a peer but is not known from the key-value service. A daemon
+   * that starts while the service is unreachable receives heartbeats; without knowing the senders it could answer none
+   * of them, nobody would send it the configuration, and it would serve nobody until the service recovers. Here it
+   * learns the address that the heartbeat came from. The address for callers comes from the daemon itself or from its
+   * entry before it left; without one, no callers are sent to it until its entry can be written.
    *
-   * @param heard - the daemon, as it or another one says; what is not said is empty
+   * @param heard - the daemon as reported; fields that were not reported are empty
    */
   addDiscoveredDaemon(heard: daemonEntries.DaemonEntry): void {
     const { layout, view, log } = this.#parts;
@@ -174,82 +182,82 @@
     const key = `${layout.daemonPrefix}${vm}`;
     const known = view.daemons.get(key);
     if (known !== undefined && (heard.callers === "" || heard.callers === known.callers)) return;
-    const before = view.former.take(vm);
+    const before = view.former.remove(vm);
     const entry = heard.callers === "" && before !== undefined ? { ...before, incarnation, peers } : heard;
     view.daemons.set(key, entry);
     log.info("daemon-joined", { daemon: vm, address: peers, callers: entry.callers, source: Source.Peer });
   }
 
   /**
-   * Keeps an entry to be told to others if it is the one that is believed, and nothing of one that names no endpoint.
-   * The failure it answers: the departure is told for a few seconds only, and a
-   * daemon that starts later would be told the old entry alone, and send requests
-   * to an endpoint that has left.
+   * Caches an entry for sending to peers if it is the current one, and drops it if it names no usable endpoint. A
+   * departure is sent for a few seconds only. If an outdated entry were cached, a daemon that starts later would
+   * receive just that entry, and send requests to an endpoint that has left.
    */
-  #keepDocument(id: string, value: Uint8Array, revision: number): void {
+  #cacheDocument(id: string, value: Uint8Array, revision: number): void {
     const { directory, endpointDocuments } = this.#parts.view;
     if (directory.isSetAside(id)) endpointDocuments.delete(id);
     else if (directory.revisionOf(id) === revision) endpointDocuments.set(id, { value, revision });
   }
 
-  #takeItem(item: ports.StoredItem): void {
+  #applyItem(item: ports.StoredItem): void {
     const { layout } = this.#parts;
     if (item.key === layout.configurationKey) {
       this.applyConfiguration(item.value, item.revision, Source.Store);
     } else if (item.key.startsWith(layout.endpointPrefix)) {
       this.applyEndpoint(item.key.slice(layout.endpointPrefix.length), item.value, item.revision, Source.Store);
     } else if (item.key.startsWith(layout.daemonPrefix)) {
-      this.#takeDaemon(item);
+      this.#applyDaemon(item);
     } else if (item.key === layout.roleChangeKey) {
-      this.#takeRoleChange(item);
+      this.#applyRoleChange(item);
     } else if (item.key.startsWith(layout.suspectPrefix)) {
-      this.#takeSuspect(item);
+      this.#applySuspect(item);
     }
   }
 
-  #takeSuspect(item: ports.StoredItem): void {
-    const word = suspectCodec.fromStored(item.value, Date.now());
-    if (word.isOk()) this.#parts.onSuspect(word.value);
-    else this.#parts.log.warn("suspect-unreadable", { key: item.key, revision: item.revision, detail: word.error });
+  #applySuspect(item: ports.StoredItem): void {
+    const record = suspectCodec.fromStored(item.value, Date.now());
+    if (record.isOk()) this.#parts.onSuspect(record.value);
+    else this.#parts.log.warn("suspect-unreadable", { key: item.key, revision: item.revision, detail: record.error });
   }
 
-  #takeRoleChange(item: ports.StoredItem): void {
+  #applyRoleChange(item: ports.StoredItem): void {
     if (item.revision <= this.#roleChangeRevision) return;
     this.#roleChangeRevision = item.revision;
-    const change = daemonEntries.readRoleChange(item.value);
+    const change = daemonEntries.parseRoleChange(item.value);
     if (change.isErr()) {
       this.#parts.log.warn("role-change-unreadable", { revision: item.revision, detail: change.error });
       return;
     }
     const { service, role, at } = change.value;
-    // A daemon that has just started reads the last change however old it is, and need not rest after an old one.
+    // A daemon that has just started reads the last change, however old it is; only its age tells whether it still has
+    // to delay further changes.
     const agoMs = Math.max(0, Date.now() - at);
     this.#parts.log.info("role-change-known", { service, revision: item.revision, agoMs });
     this.#parts.onRoleChange(service, role, agoMs);
   }
 
-  #takeDaemon(item: ports.StoredItem): void {
+  #applyDaemon(item: ports.StoredItem): void {
     const { layout, view, log } = this.#parts;
-    const entry = daemonEntries.readDaemonEntry(item.key.slice(layout.daemonPrefix.length), item.value);
+    const entry = daemonEntries.parseDaemonEntry(item.key.slice(layout.daemonPrefix.length), item.value);
     if (entry.isErr()) {
       log.warn("daemon-entry-unreadable", { key: item.key, revision: item.revision, detail: entry.error });
       return;
     }
     if (!view.daemons.has(item.key)) log.info("daemon-joined", { daemon: entry.value.vm, revision: item.revision });
     view.daemons.set(item.key, entry.value);
-    view.former.take(entry.value.vm);
+    view.former.remove(entry.value.vm);
   }
 
   #removeDaemon(key: string): void {
     const entry = this.#parts.view.daemons.get(key);
     if (entry === undefined) return;
     this.#parts.view.daemons.delete(key);
-    this.#parts.view.former.note(entry, performance.now());
+    this.#parts.view.former.add(entry, performance.now());
     this.#parts.log.info("daemon-left", { daemon: entry.vm });
   }
 
-  #tell(news: serving.EndpointUpdate, source: Source, fault = "it doesn't say when the endpoint started"): void {
-    const { id, endpoint, change, revision, formerBornAt } = news;
+  #report(update: serving.EndpointUpdate, source: Source, fault = "the entry has no start time"): void {
+    const { id, endpoint, change, revision, formerBornAt } = update;
     if (change === serving.EndpointChange.SetAside) {
       const service = endpoint?.service;
       this.#parts.log.warn("endpoint-entry-unreadable", {
@@ -272,6 +280,6 @@
         source,
       });
     }
-    this.#parts.onEndpoint(news);
+    this.#parts.onEndpoint(update);
   }
 }
--- a/packages/gateway/src/formerDaemons.ts
+++ b/packages/gateway/src/formerDaemons.ts
@@ -2,71 +2,76 @@
 import type * as daemonEntries from "./daemonEntry.js";
 
 /**
- * Time for which the address of a daemon that has left is kept, in milliseconds:
- * well over a planned restart (8 s of grace, and a start).
+ * Time for which the address of a daemon that has left is kept, in milliseconds: well over a planned restart (8 s grace
+ * period, plus the start).
  */
 export const FORMER_KEPT_MS = 30_000;
 
-/** Most daemons that are kept after they have left: a tenth of a fleet of hundreds, restarted within the time. */
-export const MOST_FORMER = 64;
+/**
+ * Maximum number of daemons kept after they have left: a tenth of a fleet of hundreds, restarted within the time above.
+ */
+export const MAX_FORMER_DAEMONS = 64;
 
-/** Daemons that speak to each one that has left; two may be dead or cut off. */
-export const FORMER_SPEAKERS = 3;
+/** Daemons that send heartbeats to each daemon that has left; two of them may be dead or cut off. */
+export const SENDERS_PER_FORMER_DAEMON = 3;
 
 /**
- * Daemons whose entry is gone and that may start again. The failure it answers:
- * one that starts while the key-value service is away can't write its entry, so
- * that nobody would speak to it, and it would refuse all callers until the
- * service returns. It is enough that a few speak to it for the time of a
- * restart: it answers whoever it hears, and is told the rest.
+ * Daemons whose entry is gone and that may restart. A daemon that starts while the key-value service is unreachable
+ * can't write its entry. Without this record nobody would send it heartbeats, and it would refuse all callers until the
+ * service recovers. It is enough that a few daemons send to it for the duration of a restart: it answers every sender,
+ * and receives the rest from them.
  */
 export class FormerDaemons {
-  readonly #left = new Map<string, { readonly entry: daemonEntries.DaemonEntry; readonly until: number }>();
+  readonly #entries = new Map<string, { readonly entry: daemonEntries.DaemonEntry; readonly until: number }>();
 
   /**
+   * Adds a daemon that has left, and drops the oldest one if there are too many.
+   *
    * @param entry - a daemon that has left
-   * @param now - current instant in milliseconds
+   * @param now - current time in milliseconds
    */
-  note(entry: daemonEntries.DaemonEntry, now: number): void {
-    this.#left.delete(entry.vm);
-    this.#left.set(entry.vm, { entry, until: now + FORMER_KEPT_MS });
-    const [oldest] = this.#left.keys();
-    if (this.#left.size > MOST_FORMER && oldest !== undefined) this.#left.delete(oldest);
+  add(entry: daemonEntries.DaemonEntry, now: number): void {
+    this.#entries.delete(entry.vm);
+    this.#entries.set(entry.vm, { entry, until: now + FORMER_KEPT_MS });
+    const [oldest] = this.#entries.keys();
+    if (this.#entries.size > MAX_FORMER_DAEMONS && oldest !== undefined) this.#entries.delete(oldest);
   }
 
-  /** @returns how many are kept */
+  /** @returns the number of daemons kept */
   get count(): number {
-    return this.#left.size;
+    return this.#entries.size;
   }
 
   /**
-   * @param vm - a daemon that has joined
-   * @returns its entry from before, if it has left a short time ago
+   * Removes a daemon that has joined.
+   *
+   * @param vm - VM of the daemon
+   * @returns its previous entry, if it left recently
    */
-  take(vm: string): daemonEntries.DaemonEntry | undefined {
-    const entry = this.#left.get(vm)?.entry;
-    this.#left.delete(vm);
+  remove(vm: string): daemonEntries.DaemonEntry | undefined {
+    const entry = this.#entries.get(vm)?.entry;
+    this.#entries.delete(vm);
     return entry;
   }
 
   /**
-   * Daemons that have left and that this one speaks to. Each is spoken to by
-   * few, chosen by hash, so that the datagrams don't grow with the fleet.
+   * Selects the daemons that have left and that this daemon sends heartbeats to. Each gets them from a few daemons,
+   * chosen by rendezvous hashing, so that the number of datagrams doesn't grow with the fleet.
    *
-   * @param own - this daemon's VM
-   * @param able - the other daemons that live and serve
-   * @param now - current instant in milliseconds
-   * @returns where they were
+   * @param own - VM of this daemon
+   * @param candidates - VMs of the other daemons that are alive and serving
+   * @param now - current time in milliseconds
+   * @returns their previous entries
    */
-  spokenToBy(own: string, able: readonly string[], now: number): daemonEntries.DaemonEntry[] {
-    for (const [vm, { until }] of this.#left) if (until <= now) this.#left.delete(vm);
-    return [...this.#left.values()]
+  assignedTo(own: string, candidates: readonly string[], now: number): daemonEntries.DaemonEntry[] {
+    for (const [vm, { until }] of this.#entries) if (until <= now) this.#entries.delete(vm);
+    return [...this.#entries.values()]
       .map(({ entry }) => entry)
       .filter(({ vm }) => vm !== own)
       .filter(({ vm }) =>
         common
-          .rendezvousOrder(vm, [own, ...able])
-          .slice(0, FORMER_SPEAKERS)
+          .rendezvousOrder(vm, [own, ...candidates])
+          .slice(0, SENDERS_PER_FORMER_DAEMON)
           .includes(own),
       );
   }
--- a/packages/gateway/src/heartbeatSocket.ts
+++ b/packages/gateway/src/heartbeatSocket.ts
@@ -4,47 +4,52 @@
 import * as socketAddresses from "./address.js";
 import type * as settingsModule from "./settings.js";
 
-/** Largest datagram in bytes that crosses usual links in one piece. */
-const LARGEST_BYTES = 1_400;
+/** Largest datagram that passes common networks without fragmentation, in bytes. */
+const MAX_DATAGRAM_BYTES = 1_400;
 
 const IP_VERSION = 4;
 
-/** Entries that a pulse still tells when it is over the size; the seldom readings make good what is left out. */
-const MOST_ENTRIES_WHEN_FULL = 2;
+/**
+ * Entries kept in a heartbeat that would exceed the size limit. Omitted ones are read from the key-value service
+ * later.
+ */
+const MAX_ENTRIES_WHEN_OVERSIZE = 2;
 
-/** Suspects that a pulse over the size still tells, the most suspected. */
-const MOST_SUSPECTS_WHEN_FULL = 3;
+/** Suspects kept in a heartbeat that would exceed the size limit; the most suspected come first. */
+const MAX_SUSPECTS_WHEN_OVERSIZE = 3;
 
-/** Engines of which a pulse that is over the size still tells the work. */
-const MOST_WORK_WHEN_FULL = 24;
+/** Engines whose work is kept in a heartbeat that would exceed the size limit. */
+const MAX_WORK_WHEN_OVERSIZE = 24;
 
-/** Sends and hears the daemons' pulses. Lost ones are made good by the next. */
-export class PeerPulse {
-  // Addresses are IP numbers already, and looking each up took a turn of the loop for every datagram.
+/** UDP socket for the heartbeats between daemons (wire message Pulse). A lost heartbeat is made up for by the next. */
+export class HeartbeatSocket {
+  // Addresses are IP numbers already. Looking each one up took a turn of the event loop per datagram.
   readonly #socket = datagrams.createSocket({
     type: "udp4",
     reuseAddr: true,
-    lookup: (host, _options, found) => {
-      found(null, host, IP_VERSION);
+    lookup: (host, _options, callback) => {
+      callback(null, host, IP_VERSION);
     },
   });
   readonly #onPulse: (pulse: messages.Pulse, sender: string) => void;
-  readonly #onProblem: (detail: string) => void;
+  readonly #onError: (detail: string) => void;
 
   /**
-   * @param onPulse - takes what is heard, and IP:PORT of the daemon that said it
-   * @param onProblem - takes what went wrong
+   * @param onPulse - called with a received heartbeat and the IP:PORT of its sender
+   * @param onError - called with a description of what failed
    */
-  constructor(onPulse: (pulse: messages.Pulse, sender: string) => void, onProblem: (detail: string) => void) {
+  constructor(onPulse: (pulse: messages.Pulse, sender: string) => void, onError: (detail: string) => void) {
     this.#onPulse = onPulse;
-    this.#onProblem = onProblem;
-    this.#socket.on("message", (bytes, from) => this.#hear(bytes, `${from.address}:${from.port}`));
-    this.#socket.on("error", (error) => onProblem(error.message));
+    this.#onError = onError;
+    this.#socket.on("message", (bytes, from) => this.#receive(bytes, `${from.address}:${from.port}`));
+    this.#socket.on("error", (error) => onError(error.message));
   }
 
   /**
-   * @param address - where to listen
-   * @returns once it listens; it fails if the address can't be had, as a daemon that waits for it would never be ready
+   * Binds the socket. Fails if the address is not available; a daemon that waited for it would never become ready.
+   *
+   * @param address - address to listen on
+   * @returns once the socket is bound
    */
   listen(address: settingsModule.SocketAddress): Promise<void> {
     return new Promise((resolve, reject) => {
@@ -57,50 +62,52 @@
   }
 
   /**
-   * @param pulse - what to say
-   * @param addresses - IP:PORT of the daemons to say it to
+   * @param pulse - the heartbeat to send
+   * @param addresses - IP:PORT of the receivers
    */
-  say(pulse: messages.Pulse, addresses: readonly string[]): void {
-    const bytes = this.#encodeWithin(pulse);
+  send(pulse: messages.Pulse, addresses: readonly string[]): void {
+    const bytes = this.#encodeToFit(pulse);
     for (const address of addresses) {
       const { host, port } = socketAddresses.hostAndPort(address);
       this.#socket.send(bytes, port, host, (error) => {
-        if (error !== null) this.#onProblem(error.message);
+        if (error !== null) this.#onError(error.message);
       });
     }
   }
 
   /**
-   * What is under way counts more than shares, which the next pulses go on with, and than what was learned. Of a daemon
-   * that has work at many engines the others must still hear where most of it is: they would send their own there.
+   * Encodes a heartbeat and omits fields until it fits into a datagram. Work in progress matters more than size shares,
+   * which the next heartbeats continue, and than learned observations. A daemon with work at many engines must still
+   * report where most of it is, or the others would send their own requests there.
    */
-  #encodeWithin(pulse: messages.Pulse): Uint8Array {
+  #encodeToFit(pulse: messages.Pulse): Uint8Array {
     const withoutShares = { ...pulse, sizes: [] };
-    const withWorkAlone = { ...withoutShares, reads: [], observations: [] };
-    const withMostWork = { ...withWorkAlone, work: mostWork(pulse.work) };
-    for (const told of [pulse, withoutShares, withWorkAlone, withMostWork]) {
-      const bytes = this.#encode(told);
-      if (bytes.length <= LARGEST_BYTES) return bytes;
+    const withWorkOnly = { ...withoutShares, reads: [], observations: [] };
+    const withLargestWork = { ...withWorkOnly, work: largestWork(pulse.work) };
+    for (const candidate of [pulse, withoutShares, withWorkOnly, withLargestWork]) {
+      const bytes = this.#encode(candidate);
+      if (bytes.length <= MAX_DATAGRAM_BYTES) return bytes;
     }
     return this.#encode({
-      ...withMostWork,
+      ...withLargestWork,
       work: [],
-      entries: pulse.entries.slice(-MOST_ENTRIES_WHEN_FULL),
+      entries: pulse.entries.slice(-MAX_ENTRIES_WHEN_OVERSIZE),
       departures: pulse.departures.slice(-8),
-      suspects: pulse.suspects.slice(0, MOST_SUSPECTS_WHEN_FULL),
+      suspects: pulse.suspects.slice(0, MAX_SUSPECTS_WHEN_OVERSIZE),
     });
   }
 
   /**
-   * A figure that the message can't hold makes the library throw, in a timer: one daemon's wrong figure would end it
-   * with all its callers. Told without its figures, the pulse still says that it lives and what has left.
+   * Encodes a heartbeat, without its numeric fields if one of them is out of range. The protobuf library throws for
+   * such a value, and as this runs in a timer, one wrong number would end the daemon with all its callers' requests.
+   * Without the numbers the heartbeat still reports that the daemon is alive and which endpoints have left.
    */
   #encode(pulse: messages.Pulse): Uint8Array {
     try {
       return protobuf.toBinary(messages.PulseSchema, pulse);
     } catch (error) {
-      this.#onProblem(`a pulse is told without its figures: ${String(error)}`);
-      const withoutFigures = {
+      this.#onError(`heartbeat sent without its numeric fields: ${String(error)}`);
+      const withoutNumbers = {
         work: [],
         reads: [],
         observations: [],
@@ -114,28 +121,28 @@
         busyThousandths: 0,
         nextWithinMs: 0,
       };
-      return protobuf.toBinary(messages.PulseSchema, { ...pulse, ...withoutFigures });
+      return protobuf.toBinary(messages.PulseSchema, { ...pulse, ...withoutNumbers });
     }
   }
 
-  /** Ends speaking and hearing. */
+  /** Closes the socket. */
   close(): void {
     this.#socket.close();
   }
 
-  #hear(bytes: Uint8Array, sender: string): void {
+  #receive(bytes: Uint8Array, sender: string): void {
     try {
       this.#onPulse(protobuf.fromBinary(messages.PulseSchema, bytes), sender);
     } catch (error) {
-      this.#onProblem(`a datagram can't be read: ${String(error)}`);
+      this.#onError(`received datagram can't be decoded: ${String(error)}`);
     }
   }
 }
 
-/** The engines with the most unread tokens, then with the most requests. */
-function mostWork(work: readonly messages.EndpointWork[]): messages.EndpointWork[] {
+/** The engines with the most unread tokens, ties broken by the most running requests. */
+function largestWork(work: readonly messages.EndpointWork[]): messages.EndpointWork[] {
   const unreadOf = ({ unread }: messages.EndpointWork): number => unread.reduce((sum, tokens) => sum + tokens, 0);
   return [...work]
     .sort((left, right) => unreadOf(right) - unreadOf(left) || right.running - left.running)
-    .slice(0, MOST_WORK_WHEN_FULL);
+    .slice(0, MAX_WORK_WHEN_OVERSIZE);
 }
--- a/packages/gateway/src/peerNews.ts
+++ b/packages/gateway/src/peerNews.ts
@@ -4,12 +4,14 @@
 import * as connectNode from "@connectrpc/connect-node";
 import type * as settingsModule from "./settings.js";
 
-/** Time for one telling, in milliseconds. */
-const TELL_TIMEOUT_MS = 800;
+/** Timeout for sending news to one peer, in milliseconds. */
+const SEND_TIMEOUT_MS = 800;
 
 /**
- * @param address - where to listen
- * @param onNews - takes what a peer tells, and returns the revision of the configuration in force after it
+ * Starts the RPC server that receives news.
+ *
+ * @param address - address to listen on
+ * @param onNews - called with received news; returns the revision of the configuration in force afterwards
  * @returns the server, once it listens
  */
 export function serveNews(
@@ -31,16 +33,18 @@
   });
 }
 
-/** Tells peers over connections that are opened when there is something to tell. */
-export class NewsTeller {
+/** Sends news to peers over connections that are opened on first use. */
+export class NewsClient {
   readonly #clients = new Map<string, connect.Client<typeof messages.GatewayPeer>>();
 
   /**
+   * Sends news to one peer.
+   *
    * @param address - IP:PORT of the peer
-   * @param news - what to tell
+   * @param news - the news to send
    */
-  async tell(address: string, news: Omit<messages.News, "$typeName" | "$unknown">): Promise<void> {
-    await this.#client(address).tell(news, { timeoutMs: TELL_TIMEOUT_MS });
+  async send(address: string, news: Omit<messages.News, "$typeName" | "$unknown">): Promise<void> {
+    await this.#client(address).tell(news, { timeoutMs: SEND_TIMEOUT_MS });
   }
 
   #client(address: string): connect.Client<typeof messages.GatewayPeer> {
--- a/packages/gateway/src/peerTable.ts
+++ b/packages/gateway/src/peerTable.ts
@@ -1,7 +1,7 @@
 import * as common from "@camphorcourse/common";
 import * as serving from "@camphorcourse/serving";
 
-/** What a daemon last said of itself. */
+/** The last state that a daemon reported. */
 export interface PeerState {
   readonly vm: string;
   readonly incarnation: string;
@@ -9,112 +9,116 @@
   readonly ready: boolean;
   /** Whether callers of its data centre are sent to it. */
   readonly active: boolean;
-  /** Whether it takes callers, or has work of theirs. */
-  readonly deciding: boolean;
-  /** Daemons of its data centre that callers are sent to, as it knows them. */
+  /** Whether it is active or still has callers' requests in progress. */
+  readonly dispatching: boolean;
+  /** Active daemons of its data centre, as it knows them. */
   readonly activeVms: readonly string[];
-  /** Processor capacity of its VM, and how much of it is busy, in cores. */
+  /** Processor capacity of its VM and the busy part of it, in cores. */
   readonly capacity: number;
   readonly busyCores: number;
-  /** Longest time until it is heard again, in milliseconds. */
+  /** Longest time until its next heartbeat, in milliseconds. */
   readonly nextWithinMs: number;
   readonly configurationRevision: number;
   /** Milliseconds for which the key-value service has not answered it. */
   readonly storeSilentMs: number;
-  /** Whether it follows the key-value service closely, and need not be told what is there. */
+  /** Whether it follows the key-value service closely and needs no news from peers. */
   readonly followsClosely: boolean;
-  /** Prefill engines that reading its prompts keeps busy. */
+  /** Number of prefill engines that its prompts keep busy. */
   readonly readingLoad: number;
-  /** Events that its callers' streams ask for in a millisecond. */
+  /** Events per millisecond that its callers' streams require. */
   readonly eventsPerMs: number;
   readonly heardAt: number;
 }
 
-/** What a daemon knows that may tell others. */
-export interface Known {
+/** State of a daemon that may send news to others. */
+export interface SenderState {
   /** Revision of the configuration in force. */
   readonly configurationRevision: number;
   /** Whether the key-value service answers it. */
-  readonly answered: boolean;
+  readonly storeAnswers: boolean;
   /** Whether it follows the key-value service closely. */
   readonly followsClosely: boolean;
 }
 
-/** Least silence after which a daemon counts as dead, in milliseconds; it speaks several times in that time. */
+/** Minimum silence after which a daemon counts as dead, in milliseconds. It sends several heartbeats in that time. */
 export const PEER_SILENT_MS = 1_300;
 
-/** Pulses in the time after which a daemon counts as silent. */
-const PULSES_UNTIL_SILENT = 2.5;
+/** Heartbeat intervals without a heartbeat after which a daemon counts as dead. */
+const SILENT_AFTER_HEARTBEATS = 2.5;
 
-/** Silence of the key-value service from which a daemon needs its peers' word, in milliseconds. */
+/** Time without an answer from the key-value service after which a daemon depends on its peers, in milliseconds. */
 export const STORE_SILENT_MS = 2_600;
 
-/** Time in which one telling of a daemon is expected to arrive, in milliseconds. */
-const TELL_AGAIN_MS = 700;
+/** Time within which sent news is expected to arrive, in milliseconds; only then is it sent again. */
+const RESEND_AFTER_MS = 700;
 
 /**
- * Time for which a daemon that follows closely may be behind before it is told, in
- * milliseconds: it usually reads the change itself within that time, and half a
- * second is left of the bound for telling it. One that reads seldom is told at the
- * first look: in a large fleet the next is a second later.
+ * Time for which a close follower may be behind before it is sent news, in milliseconds. It usually reads the change
+ * itself by then, and half a second of the limit is left for sending it. A daemon that rarely reads is sent news at the
+ * first check: in a large fleet the next check is a second later.
  */
-const OWN_READING_MS = 900;
+const OWN_READ_GRACE_MS = 900;
 
 /**
- * Least time in which the telling of one daemon shows in a pulse of the other, in
- * milliseconds; then the next in the order tells. Where pulses are further apart
- * it is the time between two of them, a little less as timers don't run evenly.
+ * Minimum time until news sent by one daemon shows in the receiver's heartbeat, in milliseconds; after it the next
+ * daemon in the order sends too. If heartbeats are further apart, their interval counts, slightly reduced because
+ * timers are imprecise.
  */
-const NEXT_TELLER_MS = 500;
-const PULSES_UNTIL_NEXT_TELLER = 0.9;
+const NEXT_SENDER_MS = 500;
+const HEARTBEATS_UNTIL_NEXT_SENDER = 0.9;
 
-/** Daemons that tell one that stays behind: two may fail, and one that can't be reached isn't told by the whole fleet. */
-const MOST_TELLERS = 3;
+/**
+ * Maximum number of daemons that send news to one daemon that stays behind. Two of them may fail, and an unreachable
+ * daemon isn't sent news by the whole fleet.
+ */
+const MAX_SENDERS = 3;
 
-/** What the other daemons last said, and who needs to be told what. */
+/** Last reported states of the other daemons; selects the daemons that this one has to send news to. */
 export class PeerTable {
-  #nextTellerMs = NEXT_TELLER_MS;
+  #nextSenderMs = NEXT_SENDER_MS;
   readonly #own: string;
   readonly #states = new Map<string, PeerState>();
-  readonly #toldAt = new Map<string, number>();
+  readonly #sentAt = new Map<string, number>();
   readonly #behindSince = new Map<string, number>();
 
-  /** @param own - this daemon's VM */
+  /** @param own - VM of this daemon */
   constructor(own: string) {
     this.#own = own;
   }
 
-  /** @param intervalMs - time between two looks at who is to be told, in milliseconds */
-  followInterval(intervalMs: number): void {
-    this.#nextTellerMs = Math.max(NEXT_TELLER_MS, PULSES_UNTIL_NEXT_TELLER * intervalMs);
+  /** @param intervalMs - time between two checks for daemons that are behind, in milliseconds */
+  setHeartbeatInterval(intervalMs: number): void {
+    this.#nextSenderMs = Math.max(NEXT_SENDER_MS, HEARTBEATS_UNTIL_NEXT_SENDER * intervalMs);
   }
 
   /**
-   * @param state - what a daemon said
-   * @returns what it had said before, if it was heard before
+   * Records the state that a daemon reported.
+   *
+   * @param state - the reported state
+   * @returns its previous state, if there is one
    */
-  hear(state: PeerState): PeerState | undefined {
-    const before = this.#states.get(state.vm);
+  record(state: PeerState): PeerState | undefined {
+    const previous = this.#states.get(state.vm);
     this.#states.set(state.vm, state);
-    if (before !== undefined && before.incarnation !== state.incarnation) {
+    if (previous !== undefined && previous.incarnation !== state.incarnation) {
       this.#behindSince.delete(state.vm);
-      this.#toldAt.delete(state.vm);
+      this.#sentAt.delete(state.vm);
     }
-    return before;
+    return previous;
   }
 
   /**
-   * @param now - current instant in milliseconds
-   * @returns daemons that speak
+   * @param now - current time in milliseconds
+   * @returns states of the daemons that count as alive
    */
   live(now: number): PeerState[] {
     return [...this.#states.values()].filter((state) => isLive(state, now));
   }
 
   /**
-   * @param vm - a daemon
-   * @param now - current instant in milliseconds
-   * @returns what it last said, if it speaks
+   * @param vm - VM of a daemon
+   * @param now - current time in milliseconds
+   * @returns its last state, if it counts as alive
    */
   liveState(vm: string, now: number): PeerState | undefined {
     const state = this.#states.get(vm);
@@ -122,59 +126,59 @@
   }
 
   /**
-   * @param now - current instant in milliseconds
-   * @returns whether the key-value service answers none or few of those that speak: it is away, not one daemon
+   * @param now - current time in milliseconds
+   * @returns whether more than half of the live dispatching daemons get no answer from the key-value service, so that
+   *   the service is unreachable and not only a single daemon cut off
    */
   isStoreUnreachable(now: number): boolean {
-    // Those that stand by don't ask it.
-    const asking = this.live(now).filter((state) => state.deciding);
+    // Standby daemons don't call the key-value service.
+    const asking = this.live(now).filter((state) => state.dispatching);
     const silent = asking.filter((state) => state.storeSilentMs > STORE_SILENT_MS);
     return silent.length > 0 && silent.length * 2 > asking.length;
   }
 
   /**
-   * Daemons whose address may be given to callers. One that has registered but
-   * was never heard is given too: a daemon that has just started hears nobody.
+   * Decides whether a daemon's address may be given to callers. A daemon that is registered but was never heard from
+   * counts as available, because a daemon that has just started has received no heartbeats yet.
    *
-   * @param vm - a registered daemon
-   * @param now - current instant in milliseconds
+   * @param vm - VM of a registered daemon
+   * @param now - current time in milliseconds
    * @returns whether callers may be sent there
    */
   mayTakeCallers(vm: string, now: number): boolean {
     const state = this.#states.get(vm);
     if (state === undefined) return true;
     if (isLive(state, now)) return state.ready;
-    // Nobody is heard: it is this daemon that is cut off, and its silence says nothing of the others.
+    // If no daemon is heard, this daemon is cut off, and the silence says nothing about the others.
     return this.live(now).length === 0 && state.ready;
   }
 
   /**
-   * Daemons that this one has to tell what it knows. Each is told by one of
-   * those that know it and reach the key-value service, in an order given by
-   * hash, so that a change doesn't go out as many times as there are daemons.
-   * If it is still behind after the time of a telling, the next in the order
-   * tells it: the first may be dead and not yet missed, or not hear it, and all
-   * others would leave the telling to it.
+   * Selects the daemons that this one has to send news to. Each is served by one of the daemons that have the
+   * configuration and reach the key-value service, in an order given by rendezvous hashing, so that a change isn't sent
+   * once per daemon of the fleet. A receiver that is still behind after the expected time is served by the next in the
+   * order too: the first one may be dead without this being noticed yet, or may not receive its heartbeats, and all
+   * others would rely on it.
    *
-   * @param known - what this daemon knows
-   * @param now - current instant in milliseconds
-   * @returns daemons to tell, whose telling is noted
+   * @param sender - what this daemon knows
+   * @param now - current time in milliseconds
+   * @returns the daemons to send news to; they are recorded as served
    */
-  toTell(known: Known, now: number): PeerState[] {
+  selectReceivers(sender: SenderState, now: number): PeerState[] {
     const live = this.live(now);
     return live.filter((state) => {
-      const overdueMs = this.#overdueMs(state, known.configurationRevision, now);
-      const cutOff = state.storeSilentMs > STORE_SILENT_MS && known.answered;
+      const overdueMs = this.#overdueMs(state, sender.configurationRevision, now);
+      const cutOff = state.storeSilentMs > STORE_SILENT_MS && sender.storeAnswers;
       if (overdueMs < 0 && !cutOff) return false;
-      if (now - (this.#toldAt.get(state.vm) ?? Number.NEGATIVE_INFINITY) < TELL_AGAIN_MS) return false;
-      const tellers = Math.min(MOST_TELLERS, 1 + Math.max(0, Math.floor(overdueMs / this.#nextTellerMs)));
-      if (this.#tellersBefore(state, live, known) >= tellers) return false;
-      this.#toldAt.set(state.vm, now);
+      if (now - (this.#sentAt.get(state.vm) ?? Number.NEGATIVE_INFINITY) < RESEND_AFTER_MS) return false;
+      const allowedSenders = Math.min(MAX_SENDERS, 1 + Math.max(0, Math.floor(overdueMs / this.#nextSenderMs)));
+      if (this.#sendersBefore(state, live, sender) >= allowedSenders) return false;
+      this.#sentAt.set(state.vm, now);
       return true;
     });
   }
 
-  /** Time for which a daemon should have been told, in milliseconds; negative if it need not be. */
+  /** Time for which news to a daemon has been overdue, in milliseconds; negative if it needs none. */
   #overdueMs(state: PeerState, configurationRevision: number, now: number): number {
     if (state.configurationRevision >= configurationRevision) {
       this.#behindSince.delete(state.vm);
@@ -182,41 +186,43 @@
     }
     const since = this.#behindSince.get(state.vm) ?? now;
     this.#behindSince.set(state.vm, since);
-    return now - since - (state.followsClosely ? OWN_READING_MS : 0);
+    return now - since - (state.followsClosely ? OWN_READ_GRACE_MS : 0);
   }
 
   /**
-   * How many are to tell a daemon before this one does: first those that follow
-   * closely, which know a change first. Only those that decide hear it, a few of its own data centre if it stands by.
-   * Were all that know it to share the
-   * telling out, it would pass on to each that was just told, and wait for its
-   * next look each time. Those that follow closely read a change in the same
-   * moment, and count before they are heard to have it: each of them would
-   * otherwise tell the whole fleet.
+   * Number of daemons that come before this one in the order for a receiver. Close followers come first, as they learn
+   * of a change first. Only dispatching daemons and, for a standby receiver, the standby contacts of its data centre
+   * receive its heartbeats and count. If all daemons that have the change shared the receivers, each receiver would be
+   * reassigned to daemons that were just served, and wait for their next check every time. Close followers read a
+   * change at the same moment and count before their heartbeats show that they have it; otherwise each of them would
+   * send it to the whole fleet.
    */
-  #tellersBefore(of: PeerState, live: readonly PeerState[], known: Known): number {
-    // Where the service answers nobody, those that know the configuration share the telling out among themselves.
-    const answered = live
+  #sendersBefore(receiver: PeerState, live: readonly PeerState[], sender: SenderState): number {
+    // If the key-value service answers no daemon, all daemons that have the configuration share the receivers.
+    const candidates = live
       .filter(
         (state) =>
-          of.deciding || (serving.isStandbyContact(state.vm, state.activeVms) && state.dataCentre === of.dataCentre),
+          receiver.dispatching ||
+          (serving.isStandbyContact(state.vm, state.activeVms) && state.dataCentre === receiver.dataCentre),
       )
-      .filter((state) => state.deciding)
-      .filter((state) => !known.answered || state.storeSilentMs < STORE_SILENT_MS);
-    const able = answered
-      .filter((state) => state.vm !== of.vm)
-      .filter((state) => state.configurationRevision >= known.configurationRevision);
-    const close = able.filter((state) => state.followsClosely).map((state) => state.vm);
-    if (known.followsClosely) {
-      const reading = answered.filter((state) => state.followsClosely && state.vm !== of.vm).map((state) => state.vm);
-      const sharing = known.answered ? reading : close;
-      return common.rendezvousOrder(of.vm, [this.#own, ...sharing]).indexOf(this.#own);
+      .filter((state) => state.dispatching)
+      .filter((state) => !sender.storeAnswers || state.storeSilentMs < STORE_SILENT_MS);
+    const upToDate = candidates
+      .filter((state) => state.vm !== receiver.vm)
+      .filter((state) => state.configurationRevision >= sender.configurationRevision);
+    const upToDateFollowers = upToDate.filter((state) => state.followsClosely).map((state) => state.vm);
+    if (sender.followsClosely) {
+      const closeFollowers = candidates
+        .filter((state) => state.followsClosely && state.vm !== receiver.vm)
+        .map((state) => state.vm);
+      const sharing = sender.storeAnswers ? closeFollowers : upToDateFollowers;
+      return common.rendezvousOrder(receiver.vm, [this.#own, ...sharing]).indexOf(this.#own);
     }
-    const others = able.filter((state) => !state.followsClosely).map((state) => state.vm);
-    return close.length + common.rendezvousOrder(of.vm, [this.#own, ...others]).indexOf(this.#own);
+    const others = upToDate.filter((state) => !state.followsClosely).map((state) => state.vm);
+    return upToDateFollowers.length + common.rendezvousOrder(receiver.vm, [this.#own, ...others]).indexOf(this.#own);
   }
 }
 
 function isLive(state: PeerState, now: number): boolean {
-  return now - state.heardAt <= Math.max(PEER_SILENT_MS, PULSES_UNTIL_SILENT * state.nextWithinMs);
+  return now - state.heardAt <= Math.max(PEER_SILENT_MS, SILENT_AFTER_HEARTBEATS * state.nextWithinMs);
 }
--- a/packages/gateway/src/peerWork.ts
+++ b/packages/gateway/src/peerWork.ts
@@ -2,18 +2,18 @@
 import * as messages from "@camphorcourse/protocol/gateway";
 import * as serving from "@camphorcourse/serving";
 import type * as fleetViews from "./fleetView.js";
-import type * as peerBooks from "./peerTable.js";
-import * as toldLives from "./endpointIncarnation.js";
+import type * as peerTables from "./peerTable.js";
+import * as endpointIncarnations from "./endpointIncarnation.js";
 
-/** Messages tell a load in whole thousandths. */
+/** Messages carry a load in whole thousandths. */
 const THOUSANDTHS = 1_000;
 
 const MS_PER_SECOND = 1_000;
 
-/** Largest number that the messages' fields hold. */
-const MOST_IN_FIELD = 0xffff_ffff;
+/** Largest value of a uint32 field. */
+const MAX_UINT32 = 0xffff_ffff;
 
-/** What daemons tell each other about is kept in. */
+/** State that heartbeats report and update. */
 export interface PeerWorkParts {
   readonly view: fleetViews.FleetView;
   readonly board: serving.EngineLoadTracker;
@@ -22,37 +22,40 @@
   readonly sizeShares: serving.AcceptanceTracker;
 }
 
-/** The fields of a pulse that are about the engines' work. */
-type ToldWork = Pick<
+/** The fields of a heartbeat that concern the engines' work. */
+type WorkFields = Pick<
   messages.Pulse,
   "work" | "reads" | "observations" | "sizes" | "readingLoadThousandths" | "eventsPerSecond"
 >;
 
 /**
- * @param pulse - what a daemon says
- * @returns what its callers ask of the engines
+ * @param pulse - a received heartbeat
+ * @returns the load that the sender's callers put on the engines
  */
-export function toldDemand(pulse: messages.Pulse): Pick<peerBooks.PeerState, "readingLoad" | "eventsPerMs"> {
+export function demandFrom(pulse: messages.Pulse): Pick<peerTables.PeerState, "readingLoad" | "eventsPerMs"> {
   return {
     readingLoad: pulse.readingLoadThousandths / THOUSANDTHS,
     eventsPerMs: pulse.eventsPerSecond / MS_PER_SECOND,
   };
 }
 
-/** The part of the daemons' pulses that is about the engines' work: what is under way, kept, asked for and learned. */
+/**
+ * Writes and applies the part of heartbeats that concerns the engines' work: requests in progress, prompt parts read,
+ * demand and learned speeds.
+ */
 export class PeerWork {
   readonly #parts: PeerWorkParts;
 
-  /** @param parts - where it is kept */
+  /** @param parts - the state to report and update */
   constructor(parts: PeerWorkParts) {
     this.#parts = parts;
   }
 
   /**
-   * @param now - current instant in milliseconds
-   * @returns what is new since the last pulse, and what is under way
+   * @param now - current time in milliseconds
+   * @returns what is new since the last heartbeat, and the work in progress
    */
-  tell(now: number): ToldWork {
+  createFields(now: number): WorkFields {
     const { board, demand } = this.#parts;
     return {
       work: [...board.ownWork()].map(([endpoint, { running, unread }]) =>
@@ -71,19 +74,22 @@
   }
 
   /**
-   * @param pulse - what a daemon says
-   * @param now - current instant in milliseconds
-   * @param validMs - time for which its word of its work counts, in milliseconds
+   * Applies the work that a peer reports.
+   *
+   * @param pulse - a received heartbeat
+   * @param now - current time in milliseconds
+   * @param validMs - time for which the reported work is valid, in milliseconds
    */
-  hear(pulse: messages.Pulse, now: number, validMs: number): void {
+  apply(pulse: messages.Pulse, now: number, validMs: number): void {
     const { board, view } = this.#parts;
     const work = pulse.work.map(({ endpoint, unread, running }) => [endpoint, { unread, running }] as const);
     board.updatePeerWork(pulse.vm, new Map(work), now, validMs);
     for (const { endpoint, model, part, tokens, startedAtMs, isRead } of pulse.reads) {
-      if (toldLives.isOfAnotherLife(view, endpoint, toldLives.fromMessage(startedAtMs))) continue;
+      if (endpointIncarnations.isOtherIncarnation(view, endpoint, endpointIncarnations.fromMessage(startedAtMs)))
+        continue;
       board.notePeerRead({ endpointId: endpoint, model, part: { id: part, tokens }, isRead });
     }
-    this.#learn(pulse.observations);
+    this.#applyObservations(pulse.observations);
     for (const count of pulse.sizes) this.#parts.sizeShares.addPeerCount(count, now);
   }
 
@@ -96,7 +102,7 @@
         part: part.id,
         tokens: part.tokens,
         isRead,
-        startedAtMs: toldLives.toMessage(view.directory.bornAtOf(endpointId)),
+        startedAtMs: endpointIncarnations.toMessage(view.directory.bornAtOf(endpointId)),
       }),
     );
   }
@@ -117,20 +123,21 @@
     );
   }
 
-  #learn(observations: readonly messages.ReadObservation[]): void {
+  #applyObservations(observations: readonly messages.ReadObservation[]): void {
     for (const { service, role, ...observation } of observations) {
-      const known = Object.values(serving.EngineRole).find((each) => each === role);
-      if (known !== undefined) this.#parts.speeds.of(service).learnPrefill(known, observation);
+      const knownRole = Object.values(serving.EngineRole).find((each) => each === role);
+      if (knownRole !== undefined) this.#parts.speeds.of(service).learnPrefill(knownRole, observation);
     }
   }
 }
 
 /**
- * A sum may grow beyond what a field holds, which the library answers by throwing; that much is as good as the most.
+ * Rounds and clamps a value to the range of a uint32 field. A sum may exceed the range, for which the protobuf library
+ * throws; the largest value serves as well.
  *
- * @param value - a figure to be told
- * @returns a whole number that a field holds
+ * @param value - the value to send
+ * @returns a whole number that fits the field
  */
 export function toUint32(value: number): number {
-  return Math.min(MOST_IN_FIELD, Math.max(0, Math.round(value)));
+  return Math.min(MAX_UINT32, Math.max(0, Math.round(value)));
 }
--- a/packages/gateway/src/peers/activeSetTracker.ts
+++ b/packages/gateway/src/peers/activeSetTracker.ts
@@ -1,65 +1,65 @@
 import * as serving from "@camphorcourse/serving";
 import type * as decisionLogs from "../decisionLog.js";
 import type * as daemonEntries from "../daemonEntry.js";
-import type * as peerBooks from "../peerTable.js";
+import type * as peerTables from "../peerTable.js";
 
-/** What the standing is decided by. */
-export interface StandingParts {
+/** Dependencies of {@link ActiveSetTracker}. */
+export interface ActiveSetTrackerParts {
   readonly entry: daemonEntries.DaemonEntry;
-  readonly book: peerBooks.PeerTable;
+  readonly peerTable: peerTables.PeerTable;
   readonly log: decisionLogs.DecisionLog;
   /** Whether this daemon can serve callers. */
   readonly ready: () => boolean;
-  /** Part of its capacity that is busy, in cores. */
+  /** Busy part of its capacity, in cores. */
   readonly busyCores: () => number;
 }
 
-/** Whether this daemon takes the callers of its data centre or stands by, and who does. */
-export class Standing {
-  readonly #parts: StandingParts;
-  readonly #set = new serving.ActiveSet();
-  #names: readonly string[] = [];
+/** Tracks which daemons of this data centre are active, that is, take its callers. The others are on standby. */
+export class ActiveSetTracker {
+  readonly #parts: ActiveSetTrackerParts;
+  readonly #activeSet = new serving.ActiveSet();
+  #activeVms: readonly string[] = [];
   #active = false;
 
-  /** @param parts - what it is decided by */
-  constructor(parts: StandingParts) {
+  /** @param parts - dependencies */
+  constructor(parts: ActiveSetTrackerParts) {
     this.#parts = parts;
   }
 
-  /** @returns whether callers of this data centre are sent here */
+  /** @returns whether this daemon is active */
   get active(): boolean {
     return this.#active;
   }
 
-  /** @returns whether this daemon speaks to those of its data centre that stand by */
-  get host(): boolean {
-    return serving.isStandbyContact(this.#parts.entry.vm, this.#names);
+  /** @returns whether this daemon sends heartbeats to the standby daemons of its data centre */
+  get isStandbyContact(): boolean {
+    return serving.isStandbyContact(this.#parts.entry.vm, this.#activeVms);
   }
 
-  /** @returns VMs of this data centre that callers are sent to, the most able first */
+  /** @returns VMs of the active daemons of this data centre, the one with the most capacity first */
   get activeVms(): readonly string[] {
-    return this.#names;
+    return this.#activeVms;
   }
 
   /**
-   * Decides anew by what is heard now.
+   * Recomputes the active set from the current peer states.
    *
-   * @param now - current instant in milliseconds
-   * @returns whether it is another decision than before
+   * @param now - current time in milliseconds
+   * @returns whether the active set has changed
    */
-  look(now: number): boolean {
-    const { entry, book, log } = this.#parts;
-    const others = book.live(now).filter((peer) => peer.ready && peer.dataCentre === entry.dataCentre);
-    const decision = this.#set.decide(this.#own(), others, now);
-    const names = decision?.active ?? [];
-    const active = names.includes(entry.vm);
-    if (active === this.#active && names.join() === this.#names.join()) return false;
+  update(now: number): boolean {
+    const { entry, peerTable, log } = this.#parts;
+    const others = peerTable.live(now).filter((peer) => peer.ready && peer.dataCentre === entry.dataCentre);
+    const decision = this.#activeSet.decide(this.#own(), others, now);
+    const activeVms = decision?.active ?? [];
+    const active = activeVms.includes(entry.vm);
+    if (active === this.#active && activeVms.join() === this.#activeVms.join()) return false;
     this.#active = active;
-    this.#names = names;
+    this.#activeVms = activeVms;
     log.info("active-set", {
       active,
       leader: decision?.leader,
-      names: names.join(" "),
+      names: activeVms.join(" "),
       heard: others.length,
       oldestMs: Math.round(Math.max(0, ...others.map(({ heardAt }) => now - heardAt))),
       wantedCores: decision?.wantedCores?.toFixed(2),
@@ -71,6 +71,6 @@
     const { entry, ready, busyCores } = this.#parts;
     if (!ready()) return undefined;
     const { vm, capacity } = entry;
-    return { vm, capacity, busyCores: busyCores(), active: this.#active, activeVms: this.#names };
+    return { vm, capacity, busyCores: busyCores(), active: this.#active, activeVms: this.#activeVms };
   }
 }
--- a/packages/gateway/src/peers/recentChanges.ts
+++ b/packages/gateway/src/peers/recentChanges.ts
@@ -1,32 +1,36 @@
 import * as protobuf from "@bufbuild/protobuf";
 import * as messages from "@camphorcourse/protocol/gateway";
-import type * as beliefsModule from "../fleetViewUpdater.js";
+import type * as fleetViewUpdaters from "../fleetViewUpdater.js";
 import type * as fleetViews from "../fleetView.js";
-import * as toldLives from "../endpointIncarnation.js";
+import * as endpointIncarnations from "../endpointIncarnation.js";
 
-/** Time for which an entry that was read is told in each pulse, in milliseconds: several pulses, as some are lost. */
-const ENTRY_TOLD_MS = 1_500;
+/**
+ * Time for which a changed entry is repeated in every heartbeat, in milliseconds. It spans several heartbeats, as some
+ * are lost.
+ */
+const ENTRY_REPEAT_MS = 1_500;
 
 /**
- * Longest entry that is told in a pulse, in bytes, several times an endpoint's own. A pulse with another writer's entry
- * of many kilobytes could not be sent, and this daemon would look dead; such an entry is read in the seldom readings.
+ * Largest entry that is sent in a heartbeat, in bytes; several times the size of an endpoint's own. With another
+ * writer's entry of many kilobytes the heartbeat could not be sent, and this daemon would appear dead. Peers read such
+ * an entry from the key-value service.
  */
-const LONGEST_TOLD_BYTES = 1_000;
+const MAX_ENTRY_BYTES = 1_000;
 
-/** Time for which a departure is told in each pulse, in milliseconds. */
-const DEPARTURE_TOLD_MS = 4_000;
+/** Time for which a departure is repeated in every heartbeat, in milliseconds. */
+const DEPARTURE_REPEAT_MS = 4_000;
 
-interface ToldDeparture extends beliefsModule.Departure {
-  readonly toldUntil: number;
+interface RecentDeparture extends fleetViewUpdaters.Departure {
+  readonly sendUntil: number;
 }
 
-/** Changes of endpoints that are told in the next pulses, several times, as datagrams may be lost. */
-export class ToldChanges {
+/** Recent changes of endpoints. Each is repeated in several heartbeats, because datagrams may be lost. */
+export class RecentChanges {
   readonly #view: fleetViews.FleetView;
-  readonly #departures = new Map<string, ToldDeparture>();
+  readonly #departures = new Map<string, RecentDeparture>();
   readonly #entries = new Map<string, number>();
 
-  /** @param view - holds the entries that are told */
+  /** @param view - holds the entries to send */
   constructor(view: fleetViews.FleetView) {
     this.#view = view;
   }
@@ -34,42 +38,42 @@
   /**
    * @param id - an endpoint that is leaving, gone or set aside
    * @param departure - which of these, and since when
-   * @param now - current instant in milliseconds
+   * @param now - current time in milliseconds
    */
-  noteDeparture(id: string, departure: beliefsModule.Departure, now: number): void {
-    this.#departures.set(id, { ...departure, toldUntil: now + DEPARTURE_TOLD_MS });
+  noteDeparture(id: string, departure: fleetViewUpdaters.Departure, now: number): void {
+    this.#departures.set(id, { ...departure, sendUntil: now + DEPARTURE_REPEAT_MS });
   }
 
   /**
    * @param id - an endpoint whose entry has changed
-   * @param now - current instant in milliseconds
+   * @param now - current time in milliseconds
    */
   noteEntry(id: string, now: number): void {
-    this.#entries.set(id, now + ENTRY_TOLD_MS);
+    this.#entries.set(id, now + ENTRY_REPEAT_MS);
   }
 
   /**
-   * @param now - current instant in milliseconds
-   * @returns departures that are told now
+   * @param now - current time in milliseconds
+   * @returns the departures to send now
    */
   departures(now: number): messages.Departure[] {
-    for (const [id, departure] of this.#departures) if (departure.toldUntil < now) this.#departures.delete(id);
+    for (const [id, departure] of this.#departures) if (departure.sendUntil < now) this.#departures.delete(id);
     return [...this.#departures].map(([endpoint, { revision, bornAt, setAside }]) =>
       protobuf.create(messages.DepartureSchema, {
         endpoint,
         revision: BigInt(revision),
-        startedAtMs: toldLives.toMessage(bornAt),
+        startedAtMs: endpointIncarnations.toMessage(bornAt),
         setAside,
       }),
     );
   }
 
   /**
-   * @param now - current instant in milliseconds
-   * @returns entries that are told now, as they stand
+   * @param now - current time in milliseconds
+   * @returns the current entries to send now
    */
   entries(now: number): messages.EndpointEntry[] {
-    const told: messages.EndpointEntry[] = [];
+    const recent: messages.EndpointEntry[] = [];
     for (const [id, until] of this.#entries) {
       const document = this.#view.endpointDocuments.get(id);
       if (until < now || document === undefined) {
@@ -77,9 +81,9 @@
         continue;
       }
       const { value, revision } = document;
-      if (value.length > LONGEST_TOLD_BYTES) continue;
-      told.push(protobuf.create(messages.EndpointEntrySchema, { id, value, revision: BigInt(revision) }));
+      if (value.length > MAX_ENTRY_BYTES) continue;
+      recent.push(protobuf.create(messages.EndpointEntrySchema, { id, value, revision: BigInt(revision) }));
     }
-    return told;
+    return recent;
   }
 }
--- a/packages/gateway/src/peers/recipients.ts
+++ b/packages/gateway/src/peers/recipients.ts
@@ -1,86 +1,86 @@
 import * as serving from "@camphorcourse/serving";
 import type * as daemonEntries from "../daemonEntry.js";
 
-/** Daemons of a data centre of which nobody is heard that are spoken to at a time; the next time it is others. */
-const TRIED_AT_ONCE = 4;
+/** Daemons that are probed per round in a data centre from which no heartbeat arrives; the next round probes others. */
+const PROBES_PER_ROUND = 4;
 
-/** Another daemon, and what was heard of it. */
+/** Another daemon and what is known about it. */
 export interface KnownDaemon {
   readonly entry: daemonEntries.DaemonEntry;
-  /** Whether it was heard a short time ago. */
+  /** Whether a recent heartbeat of it was received. */
   readonly live: boolean;
-  /** Whether it was heard to take callers, or to have work of theirs. */
-  readonly deciding: boolean;
-  /** Whether another daemon was heard to name it among those that take callers. */
-  readonly named: boolean;
+  /** Whether it reports that it is active or still has callers' requests in progress. */
+  readonly dispatching: boolean;
+  /** Whether another daemon reports it as active. */
+  readonly reportedActive: boolean;
 }
 
-/** Whom a daemon speaks to. */
-export interface Audience {
-  /** Daemons that have to know its work: several times a second. */
-  readonly often: readonly daemonEntries.DaemonEntry[];
-  /** Daemons that have to know that it lives, and what has changed: once or twice a second. */
-  readonly seldom: readonly daemonEntries.DaemonEntry[];
+/** The daemons that heartbeats are sent to. */
+export interface Recipients {
+  /** Daemons that need this daemon's work, several times a second. */
+  readonly frequent: readonly daemonEntries.DaemonEntry[];
+  /** Daemons that need to know that this daemon is alive and what has changed, once or twice a second. */
+  readonly occasional: readonly daemonEntries.DaemonEntry[];
 }
 
-/** What a daemon is, for the choice of whom it speaks to. */
-export interface Speaker {
+/** The properties of a daemon that decide who receives its heartbeats. */
+export interface Sender {
   readonly dataCentre: string;
-  /** Whether it takes callers, or has work of theirs. */
-  readonly deciding: boolean;
-  /** Whether it speaks to those of its data centre that stand by. */
-  readonly host: boolean;
+  /** Whether it is active or still has callers' requests in progress. */
+  readonly dispatching: boolean;
+  /** Whether it sends heartbeats to the standby daemons of its data centre. */
+  readonly isStandbyContact: boolean;
 }
 
 /**
- * Chooses whom a daemon speaks to. Daemons that decide speak with each other, and
- * a few of them with those of their own data centre that stand by; these speak
- * with the few alone. So what a daemon hears grows with the number of those that
- * decide, or not at all, instead of with the square of the fleet.
+ * Chooses the daemons that heartbeats are sent to. Dispatching daemons send to each other, and a few of them, the
+ * standby contacts, also send to the standby daemons of their own data centre, which send only to dispatching daemons
+ * there. So the number of heartbeats that a daemon receives grows with the number of dispatching daemons or not at all,
+ * instead of with the square of the fleet.
  *
- * @param own - the daemon
- * @param others - the others that it knows
- * @param turn - how often it has spoken: daemons of a silent data centre are tried by turns
- * @returns whom it speaks to
+ * @param own - this daemon
+ * @param others - the other daemons that it knows
+ * @param round - number of rounds sent so far; determines which daemons of an unheard data centre are probed
+ * @returns the recipients
  */
-export function audienceOf(own: Speaker, others: readonly KnownDaemon[], turn: number): Audience {
-  const isNear = ({ entry }: KnownDaemon): boolean => entry.dataCentre === own.dataCentre;
-  const deciding = others.filter(({ live, deciding }) => live && deciding);
-  if (!own.deciding) {
-    const near = deciding.filter(isNear);
-    return { often: [], seldom: entriesOf(near.length > 0 ? near : others.filter(isNear)) };
+export function chooseRecipients(own: Sender, others: readonly KnownDaemon[], round: number): Recipients {
+  const isLocal = ({ entry }: KnownDaemon): boolean => entry.dataCentre === own.dataCentre;
+  const dispatching = others.filter(({ live, dispatching }) => live && dispatching);
+  if (!own.dispatching) {
+    const local = dispatching.filter(isLocal);
+    return { frequent: [], occasional: entriesOf(local.length > 0 ? local : others.filter(isLocal)) };
   }
-  const rest = others.filter((other) => !deciding.includes(other));
-  const chosen = rest.filter((other) => (own.host && isNear(other)) || other.named);
-  const silent = silentElsewhere(rest, deciding, own.dataCentre);
-  const tried = [...silent.values()].flatMap((daemons) => takeByTurns(daemons, turn));
+  const rest = others.filter((other) => !dispatching.includes(other));
+  const chosen = rest.filter((other) => (own.isStandbyContact && isLocal(other)) || other.reportedActive);
+  const unheard = unheardDataCentres(rest, dispatching, own.dataCentre);
+  const probed = [...unheard.values()].flatMap((daemons) => takeRoundRobin(daemons, round));
   return {
-    often: entriesOf(deciding),
-    seldom: entriesOf([...new Set([...chosen, ...tried])]),
+    frequent: entriesOf(dispatching),
+    occasional: entriesOf([...new Set([...chosen, ...probed])]),
   };
 }
 
-/** Daemons of the other data centres of which none that decides is heard. */
-function silentElsewhere(
+/** Daemons of other data centres from which no dispatching daemon is heard, by data centre. */
+function unheardDataCentres(
   rest: readonly KnownDaemon[],
-  deciding: readonly KnownDaemon[],
+  dispatching: readonly KnownDaemon[],
   own: string,
 ): ReadonlyMap<string, KnownDaemon[]> {
-  const heard = new Set(deciding.map(({ entry }) => entry.dataCentre)).add(own);
-  const silent = new Map<string, KnownDaemon[]>();
+  const heard = new Set(dispatching.map(({ entry }) => entry.dataCentre)).add(own);
+  const unheard = new Map<string, KnownDaemon[]>();
   for (const daemon of rest) {
     const { dataCentre } = daemon.entry;
-    if (!heard.has(dataCentre)) silent.set(dataCentre, [...(silent.get(dataCentre) ?? []), daemon]);
+    if (!heard.has(dataCentre)) unheard.set(dataCentre, [...(unheard.get(dataCentre) ?? []), daemon]);
   }
-  return silent;
+  return unheard;
 }
 
-function takeByTurns(daemons: readonly KnownDaemon[], turn: number): KnownDaemon[] {
+function takeRoundRobin(daemons: readonly KnownDaemon[], round: number): KnownDaemon[] {
   const byVm = new Map(daemons.map((daemon) => [daemon.entry.vm, daemon]));
   const ranked = serving.rankByCapacity(daemons.map(({ entry }) => entry));
-  const first = (turn * TRIED_AT_ONCE) % ranked.length;
+  const first = (round * PROBES_PER_ROUND) % ranked.length;
   return [...ranked.slice(first), ...ranked.slice(0, first)]
-    .slice(0, TRIED_AT_ONCE)
+    .slice(0, PROBES_PER_ROUND)
     .map(({ vm }) => byVm.get(vm))
     .filter((daemon) => daemon !== undefined);
 }
--- a/packages/gateway/src/registration.ts
+++ b/packages/gateway/src/registration.ts
@@ -4,34 +4,34 @@
 import * as ports from "./ports.js";
 
 /**
- * Time to live of a daemon's entry, in milliseconds: long enough to outlast a few lost renewals. Whether a daemon lives
- * is told by its pulses, so an entry may outlive it.
+ * Time to live of a daemon's entry, in milliseconds; long enough for a few lost renewals. Heartbeats show whether a
+ * daemon is alive, so the entry may outlive it.
  */
 const ENTRY_TTL_MS = 12_000;
 
-/** Interval of renewals, in milliseconds: three fit into the time to live. */
-const RENEW_EVERY_MS = 3_800;
+/** Interval of lease renewals, in milliseconds: three fit into the time to live. */
+const RENEW_INTERVAL_MS = 3_800;
 
-/** Pause after a failed call, in milliseconds. */
+/** Delay after a failed call, in milliseconds. */
 const RETRY_PAUSE_MS = 500;
 
-/** Keeps this daemon's entry in the key-value service, by which the others find it. */
+/** Maintains this daemon's entry in the key-value service, by which the others discover it. */
 export class Registration {
   readonly #store: ports.DurableStore;
   readonly #key: string;
   readonly #entry: daemonEntries.DaemonEntry;
   readonly #log: decisionLogs.DecisionLog;
-  /** The lease under which the entry is written, once it is granted. */
-  #granted: number | undefined;
-  /** The same lease once the entry is known to be written. */
-  #lease: number | undefined;
+  /** The lease for the entry, once it is granted. */
+  #grantedLease: number | undefined;
+  /** The same lease, once the entry is known to be written. */
+  #writtenLease: number | undefined;
   #stopped = false;
 
   /**
    * @param store - the key-value service
    * @param key - key of the entry
    * @param entry - the entry
-   * @param log - takes what is decided
+   * @param log - logs registration events
    */
   constructor(store: ports.DurableStore, key: string, entry: daemonEntries.DaemonEntry, log: decisionLogs.DecisionLog) {
     this.#store = store;
@@ -42,66 +42,66 @@
 
   /** @returns whether the entry was written and is not known to have lapsed */
   get registered(): boolean {
-    return this.#lease !== undefined;
+    return this.#writtenLease !== undefined;
   }
 
-  /** Keeps the entry until {@link Registration.end}. */
+  /** Maintains the entry until {@link Registration.end}. */
   async run(): Promise<void> {
     while (!this.#stopped) {
-      const kept = this.#lease === undefined ? await this.#register() : await this.#renew(this.#lease);
-      await new Promise((resolve) => setTimeout(resolve, kept ? RENEW_EVERY_MS : RETRY_PAUSE_MS));
+      const succeeded =
+        this.#writtenLease === undefined ? await this.#register() : await this.#renew(this.#writtenLease);
+      await new Promise((resolve) => setTimeout(resolve, succeeded ? RENEW_INTERVAL_MS : RETRY_PAUSE_MS));
     }
   }
 
-  /** Takes the entry away, so that callers and peers turn to others. */
+  /** Removes the entry by ending its lease, so that callers and peers turn to other daemons. */
   async end(): Promise<void> {
     this.#stopped = true;
-    if (this.#granted === undefined) return;
-    const ended = await this.#store.endLease(this.#granted);
+    if (this.#grantedLease === undefined) return;
+    const ended = await this.#store.endLease(this.#grantedLease);
     if (ended.isErr()) this.#log.warn("registration-not-ended", { detail: ended.error.detail });
   }
 
   async #register(): Promise<boolean> {
-    const lease = await this.#grant();
-    if (lease.isErr()) return this.#failed(lease.error);
+    const lease = await this.#ensureLease();
+    if (lease.isErr()) return this.#recordFailure(lease.error);
     const value = Buffer.from(JSON.stringify(this.#entry));
     const written = await this.#store.write({
       conditions: [],
       puts: [{ key: this.#key, value, lease: lease.value }],
       removals: [],
     });
-    if (written.isErr()) return this.#failed(written.error);
-    this.#lease = lease.value;
+    if (written.isErr()) return this.#recordFailure(written.error);
+    this.#writtenLease = lease.value;
     this.#log.info("registered", { key: this.#key, lease: lease.value, revision: written.value });
     return true;
   }
 
   /**
-   * A write whose answer was lost may be carried out seconds later. Under a lease
-   * of its own it would replace the entry, which would end with that lease while
-   * another one is renewed, and the daemon would stay unlisted. So all writes go
-   * under one lease, until the service says that it has ended.
+   * Returns the current lease, or requests one. A write whose answer was lost may still be executed seconds later.
+   * Under a lease of its own it would replace the entry and expire with that lease while another one is renewed, and
+   * the daemon would stay unlisted. So all writes use one lease until the service reports that it has ended.
    */
-  async #grant(): Promise<neverthrow.Result<number, ports.StoreProblem>> {
-    if (this.#granted !== undefined) return neverthrow.ok(this.#granted);
+  async #ensureLease(): Promise<neverthrow.Result<number, ports.StoreProblem>> {
+    if (this.#grantedLease !== undefined) return neverthrow.ok(this.#grantedLease);
     const lease = await this.#store.grantLease(ENTRY_TTL_MS);
     if (lease.isErr()) return neverthrow.err(lease.error);
-    this.#granted = lease.value.id;
+    this.#grantedLease = lease.value.id;
     return neverthrow.ok(lease.value.id);
   }
 
   async #renew(lease: number): Promise<boolean> {
     const renewed = await this.#store.renewLease(lease);
     if (renewed.isOk()) return true;
-    return this.#failed(renewed.error);
+    return this.#recordFailure(renewed.error);
   }
 
-  #failed(problem: ports.StoreProblem): boolean {
+  #recordFailure(problem: ports.StoreProblem): boolean {
     this.#log.warn("registration-call-failed", { failure: problem.failure, detail: problem.detail });
     if (problem.failure !== ports.StoreFailure.LeaseEnded) return false;
-    this.#log.warn("registration-lapsed", { lease: this.#granted });
-    this.#lease = undefined;
-    this.#granted = undefined;
+    this.#log.warn("registration-lapsed", { lease: this.#grantedLease });
+    this.#writtenLease = undefined;
+    this.#grantedLease = undefined;
     return false;
   }
 }
--- a/packages/gateway/src/storeFollower.ts
+++ b/packages/gateway/src/storeFollower.ts
@@ -1,126 +1,127 @@
 import * as serving from "@camphorcourse/serving";
-import type * as beliefsModule from "./fleetViewUpdater.js";
+import type * as fleetViewUpdaters from "./fleetViewUpdater.js";
 import type * as decisionLogs from "./decisionLog.js";
 import type * as fleetViews from "./fleetView.js";
 import * as metricsModule from "./metrics.js";
 import * as ports from "./ports.js";
 
-/** Longest wait of one watch, in milliseconds: a connection that has gone silent shows after it. */
+/** Timeout of one watch, in milliseconds; a dead connection is detected after it. */
 const WATCH_WAIT_MS = 1_500;
 
 /**
- * Pause between two watches, in milliseconds. Endpoints' heartbeats would wake
- * a watch several times a second, and each return is a call; what is read a
- * little later is still well within the bounds on leaving and configuration.
+ * Delay between two watches, in milliseconds. Endpoints' heartbeats would end a watch several times a second, and each
+ * one costs a call. Changes that are read a little later are still well within the time limits for departures and
+ * configurations.
  */
 const WATCH_PAUSE_MS = 650;
 
-/** Pause between two watches of a daemon that does not read for others, while nobody reads for it, in milliseconds. */
-const SELDOM_PAUSE_MS = 1_500;
+/** Delay between two watches of a daemon that does not read for others and that no peer updates, in milliseconds. */
+const LONG_WATCH_PAUSE_MS = 1_500;
 
 /**
- * Time without reading for a daemon that takes callers and is told what has changed, in milliseconds: what was lost on
- * the way is made good by then.
+ * Longest time without reading for an active daemon that is updated by peers, in milliseconds. It then reads what was
+ * lost on the way.
  */
-const TOLD_PAUSE_MS = 10_000;
+const MAX_READ_GAP_MS = 10_000;
 
-/** Interval at which a pausing daemon looks whether it is to follow closely now, in milliseconds. */
+/** Interval at which a waiting daemon checks whether it has to follow closely, in milliseconds. */
 const PAUSE_CHECK_MS = 250;
 
 /**
- * First and longest pause after a failed call, in milliseconds; doubled each time, with half of it drawn. A daemon that
- * stands by is told what those that take callers read, and leaves an ailing service to them.
+ * First and longest delay after a failed call, in milliseconds. It doubles with each failure, and half of it is random.
+ * A standby daemon is updated by active ones, and waits longer so as not to load a failing service.
  */
-const RETRY_PAUSE_MS = { first: 120, longest: 900, standingBy: 3_000 };
+const RETRY_PAUSE_MS = { first: 120, longest: 900, standby: 3_000 };
 
-/** Time without reading after which everything is listed anew instead of what has changed since, in milliseconds. */
-const LIST_AFTER_MS = 5_000;
+/** Time without reading after which everything is listed again instead of the changes since, in milliseconds. */
+const RELIST_AFTER_MS = 5_000;
 
-/** Time without an answer from which the service counts as away, in milliseconds. */
-const AWAY_AFTER_MS = 1_000;
+/** Time without an answer after which the key-value service counts as unreachable, in milliseconds. */
+const UNREACHABLE_AFTER_MS = 1_000;
 
-/** What the follower needs. */
+/** Dependencies of {@link StoreFollower}. */
 export interface FollowerParts {
   readonly store: ports.DurableStore;
   readonly layout: ports.StoreLayout;
   readonly view: fleetViews.FleetView;
-  readonly fleetViewUpdater: beliefsModule.FleetViewUpdater;
+  readonly fleetViewUpdater: fleetViewUpdaters.FleetViewUpdater;
   readonly log: decisionLogs.DecisionLog;
   readonly metrics: metricsModule.Metrics;
-  /** @returns a uniform number in [0, 1) */
+  /** @returns a uniform random number in [0, 1) */
   readonly draw: () => number;
   /** @returns whether this daemon follows closely, for others too */
   readonly followsClosely: () => boolean;
-  /** @returns whether others read for this daemon and tell it what has changed */
+  /** @returns whether peers read for this daemon and send it what has changed */
   readonly isUpdatedByPeers: () => boolean;
-  /** @returns whether this daemon takes no callers, and needs no reading of its own while it is told */
+  /** @returns whether this daemon is on standby, and needs no reads of its own while peers update it */
   readonly isStandby: () => boolean;
-  /** @returns whether the other daemons say that the service is away */
+  /** @returns whether most peers report that the key-value service doesn't answer */
   readonly isStoreUnreachableForPeers: () => boolean;
 }
 
-/** Follows the configuration, the endpoints and the other daemons in the key-value service. */
+/** Watches the configuration, the endpoints and the other daemons in the key-value service. */
 export class StoreFollower {
   readonly #parts: FollowerParts;
   #revision: number | undefined;
   #failures = 0;
   #answeredAt: number | undefined;
-  /** Instant of the first call since the last answer; undefined while nothing is asked. */
-  #askedSince: number | undefined = 0;
-  #away = false;
+  /** Time of the first call since the last answer; undefined while no call is pending. */
+  #unansweredSince: number | undefined = 0;
+  #unreachable = false;
   #listDueAt: number | undefined;
   #stopped = false;
 
-  /** @param parts - what it needs */
+  /** @param parts - dependencies */
   constructor(parts: FollowerParts) {
     this.#parts = parts;
   }
 
-  /** @returns milliseconds for which the service was asked and has not answered; since the start if it never has */
+  /** @returns milliseconds for which the service has not answered; since the start if it never has */
   get silentMs(): number {
-    return this.#askedSince === undefined ? 0 : performance.now() - this.#askedSince;
+    return this.#unansweredSince === undefined ? 0 : performance.now() - this.#unansweredSince;
   }
 
-  /** Follows until it is stopped. */
+  /** Follows the service until it is stopped. */
   async run(): Promise<void> {
     while (!this.#stopped) {
-      await this.#whileTold();
-      this.#askedSince ??= performance.now();
+      await this.#waitWhileUpdatedByPeers();
+      this.#unansweredSince ??= performance.now();
       const pause = await this.#step();
       if (pause > 0) await sleep(pause);
-      if (pause === WATCH_PAUSE_MS) await this.#pauseLonger();
+      if (pause === WATCH_PAUSE_MS) await this.#extendPause();
     }
   }
 
   /**
-   * A daemon that is told reads as seldom as it may. The changes of a long time are mostly endpoints' heartbeats, many
-   * times what a listing holds.
+   * Waits while peers update this daemon, to read as rarely as possible. The changes of a long time are mostly
+   * endpoints' heartbeats, many times as much data as a listing.
    */
-  async #whileTold(): Promise<void> {
+  async #waitWhileUpdatedByPeers(): Promise<void> {
     const since = performance.now();
-    const { isUpdatedByPeers: isTold, isStandby: standsBy } = this.#parts;
-    const rests = (): boolean => isTold() && (standsBy() || performance.now() - since < TOLD_PAUSE_MS);
-    while (!this.#stopped && this.#revision !== undefined && !this.#away && rests()) await sleep(PAUSE_CHECK_MS);
-    if (performance.now() - since > LIST_AFTER_MS) this.#revision = undefined;
+    const { isUpdatedByPeers, isStandby } = this.#parts;
+    const canWait = (): boolean => isUpdatedByPeers() && (isStandby() || performance.now() - since < MAX_READ_GAP_MS);
+    while (!this.#stopped && this.#revision !== undefined && !this.#unreachable && canWait())
+      await sleep(PAUSE_CHECK_MS);
+    if (performance.now() - since > RELIST_AFTER_MS) this.#revision = undefined;
   }
 
   /**
-   * A daemon that is told by others may sleep through an outage. Entries that
-   * lapse in it look removed afterwards, so the others' word of it counts.
+   * Extends the delay between two watches. A daemon that peers update may miss an outage of the service, and entries
+   * that lapsed during it would look removed. So it also counts the service as unreachable if its peers do.
    */
-  async #pauseLonger(): Promise<void> {
-    const until = performance.now() + SELDOM_PAUSE_MS - WATCH_PAUSE_MS;
+  async #extendPause(): Promise<void> {
+    const until = performance.now() + LONG_WATCH_PAUSE_MS - WATCH_PAUSE_MS;
     while (!this.#stopped && performance.now() < until && !this.#parts.followsClosely()) {
-      if (!this.#away && this.#parts.isStoreUnreachableForPeers()) {
-        this.#away = true;
-        this.#parts.log.warn("store-lost", { failure: "peers", detail: "most peers get no answer", silentMs: 0 });
+      if (!this.#unreachable && this.#parts.isStoreUnreachableForPeers()) {
+        this.#unreachable = true;
+        this.#parts.log.warn("store-lost", { failure: "peers", detail: "most peers report no answer", silentMs: 0 });
         return;
       }
       await sleep(PAUSE_CHECK_MS);
     }
   }
 
-  /** Ends following after the call that is under way. */
+  /** Stops after the current call. */
   stop(): void {
     this.#stopped = true;
   }
@@ -134,8 +135,8 @@
   async #list(): Promise<number> {
     const started = performance.now();
     const listing = await this.#parts.store.list(this.#parts.layout.watchedPrefix);
-    if (listing.isErr()) return this.#failed(listing.error, started);
-    this.#answered(started);
+    if (listing.isErr()) return this.#recordFailure(listing.error, started);
+    this.#recordAnswer(started);
     if (this.#listDueAt !== undefined && performance.now() >= this.#listDueAt) this.#listDueAt = undefined;
     this.#parts.fleetViewUpdater.applyListing(listing.value);
     this.#revision = listing.value.revision;
@@ -148,48 +149,48 @@
     if (changes.isErr()) {
       if (changes.error.failure === ports.StoreFailure.HistoryLost) {
         this.#parts.log.warn("store-history-lost", { after });
-        this.#answered(started);
+        this.#recordAnswer(started);
         this.#revision = undefined;
         return 0;
       }
-      return this.#failed(changes.error, started);
+      return this.#recordFailure(changes.error, started);
     }
-    this.#answered(started);
+    this.#recordAnswer(started);
     for (const event of changes.value.events) this.#parts.fleetViewUpdater.applyEvent(event);
     this.#revision = Math.max(after, changes.value.revision);
     return WATCH_PAUSE_MS;
   }
 
-  #answered(startedAt: number): void {
+  #recordAnswer(startedAt: number): void {
     const { log, metrics, view } = this.#parts;
     const now = performance.now();
     metrics.count("store_calls_answered");
     this.#failures = 0;
-    if (this.#away) {
+    if (this.#unreachable) {
       const awayMs = Math.round(now - (this.#answeredAt ?? 0));
       log.info("store-regained", { awayMs });
-      this.#away = false;
+      this.#unreachable = false;
       view.directory.noteStoreRecovered(now);
       this.#listDueAt = now + serving.REREGISTRATION_GRACE_MS;
     }
     this.#answeredAt = now;
-    this.#askedSince = undefined;
+    this.#unansweredSince = undefined;
     metrics.record(metricsModule.Duration.StoreCall, now - startedAt);
   }
 
-  #failed(problem: ports.StoreProblem, startedAt: number): number {
+  #recordFailure(problem: ports.StoreProblem, startedAt: number): number {
     const { log, metrics } = this.#parts;
     const now = performance.now();
     metrics.count("store_calls_failed");
     this.#failures++;
-    const awayFor = now - (this.#answeredAt ?? startedAt);
-    if (!this.#away && (awayFor > AWAY_AFTER_MS || this.#failures > 1)) {
-      this.#away = true;
-      log.warn("store-lost", { failure: problem.failure, detail: problem.detail, silentMs: Math.round(awayFor) });
+    const silentForMs = now - (this.#answeredAt ?? startedAt);
+    if (!this.#unreachable && (silentForMs > UNREACHABLE_AFTER_MS || this.#failures > 1)) {
+      this.#unreachable = true;
+      log.warn("store-lost", { failure: problem.failure, detail: problem.detail, silentMs: Math.round(silentForMs) });
     }
     const isIdle = this.#revision !== undefined && this.#parts.isStandby();
     const doubled = Math.min(RETRY_PAUSE_MS.longest, RETRY_PAUSE_MS.first * 2 ** (this.#failures - 1));
-    const pause = isIdle ? RETRY_PAUSE_MS.standingBy : doubled;
+    const pause = isIdle ? RETRY_PAUSE_MS.standby : doubled;
     return pause * (0.5 + this.#parts.draw() / 2);
   }
 }
--- a/packages/gateway/tests/helpers/simulatedFleet.ts
+++ b/packages/gateway/tests/helpers/simulatedFleet.ts
@@ -1,76 +1,80 @@
 import * as common from "@camphorcourse/common";
 import * as decisionLogs from "../../src/decisionLog.js";
 import type * as daemonEntries from "../../src/daemonEntry.js";
-import * as peerBooks from "../../src/peerTable.js";
-import * as audiences from "../../src/peers/recipients.js";
-import * as standings from "../../src/peers/activeSetTracker.js";
+import * as peerTables from "../../src/peerTable.js";
+import * as recipientsModule from "../../src/peers/recipients.js";
+import * as activeSetTrackers from "../../src/peers/activeSetTracker.js";
 
-/** Interval of the pulses to daemons that need not know the work, in milliseconds, as in the gateway. */
-const SELDOM_MS = { deciding: 450, standingBy: 1_000 };
+/** Interval of the heartbeats to daemons that need no work data, in milliseconds, as in the gateway. */
+const OCCASIONAL_MS = { dispatching: 450, standby: 1_000 };
 
-const LOOK_MS = 100;
-const SILENT = new decisionLogs.DecisionLog("fleet", "fatal", { writableLength: 0, write: () => true });
+const STEP_MS = 100;
+const NO_LOG = new decisionLogs.DecisionLog("fleet", "fatal", { writableLength: 0, write: () => true });
 
-/** One daemon of the fleet: what it hears decides whom it speaks to. */
-export class TalkingDaemon {
+/** One daemon of the fleet: the heartbeats it receives decide whom it sends to. */
+export class SimulatedDaemon {
   readonly entry: daemonEntries.DaemonEntry;
-  readonly book: peerBooks.PeerTable;
-  readonly standing: standings.Standing;
+  readonly peerTable: peerTables.PeerTable;
+  readonly activeSet: activeSetTrackers.ActiveSetTracker;
   up = true;
   ready = true;
   busyCores = 0;
-  /** Whether what others say reaches it. */
-  hears = true;
-  heardCount = 0;
-  #saidSeldomAt = Number.NEGATIVE_INFINITY;
-  #turn = 0;
+  /** Whether heartbeats of others reach it. */
+  receives = true;
+  receivedCount = 0;
+  #lastOccasionalAt = Number.NEGATIVE_INFINITY;
+  #round = 0;
 
   constructor(entry: daemonEntries.DaemonEntry) {
     this.entry = entry;
-    this.book = new peerBooks.PeerTable(entry.vm);
-    this.standing = new standings.Standing({
+    this.peerTable = new peerTables.PeerTable(entry.vm);
+    this.activeSet = new activeSetTrackers.ActiveSetTracker({
       entry,
-      book: this.book,
-      log: SILENT,
+      peerTable: this.peerTable,
+      log: NO_LOG,
       ready: () => this.ready,
       busyCores: () => this.busyCores,
     });
   }
 
-  /** @returns whom it speaks to now, and when it speaks to them again */
-  look(now: number, others: readonly daemonEntries.DaemonEntry[]): [to: string, nextWithinMs: number][] {
-    const hasChanged = this.standing.look(now);
-    const named = new Set(this.book.live(now).flatMap(({ activeVms: names }) => names));
-    const known = others.map((entry) => {
-      const heard = this.book.liveState(entry.vm, now);
+  /** @returns the receivers of heartbeats now, and the time until the next one to each, in milliseconds */
+  selectHeartbeats(now: number, others: readonly daemonEntries.DaemonEntry[]): [to: string, nextWithinMs: number][] {
+    const hasChanged = this.activeSet.update(now);
+    const reportedActive = new Set(this.peerTable.live(now).flatMap(({ activeVms: names }) => names));
+    const knownDaemons = others.map((entry) => {
+      const heard = this.peerTable.liveState(entry.vm, now);
       return {
         entry,
         live: heard !== undefined,
-        deciding: heard?.deciding ?? false,
-        named: named.has(entry.vm),
+        dispatching: heard?.dispatching ?? false,
+        reportedActive: reportedActive.has(entry.vm),
       };
     });
-    const { active: deciding, host } = this.standing;
-    const audience = audiences.audienceOf({ dataCentre: this.entry.dataCentre, deciding, host }, known, this.#turn);
-    const seldomMs = deciding ? SELDOM_MS.deciding : SELDOM_MS.standingBy;
-    const often = audience.often.map(({ vm }): [string, number] => [vm, LOOK_MS]);
-    if (!hasChanged && now - this.#saidSeldomAt < seldomMs) return often;
-    this.#saidSeldomAt = now;
-    this.#turn++;
-    return [...often, ...audience.seldom.map(({ vm }): [string, number] => [vm, seldomMs])];
+    const { active: dispatching, isStandbyContact } = this.activeSet;
+    const recipients = recipientsModule.chooseRecipients(
+      { dataCentre: this.entry.dataCentre, dispatching, isStandbyContact },
+      knownDaemons,
+      this.#round,
+    );
+    const occasionalMs = dispatching ? OCCASIONAL_MS.dispatching : OCCASIONAL_MS.standby;
+    const frequent = recipients.frequent.map(({ vm }): [string, number] => [vm, STEP_MS]);
+    if (!hasChanged && now - this.#lastOccasionalAt < occasionalMs) return frequent;
+    this.#lastOccasionalAt = now;
+    this.#round++;
+    return [...frequent, ...recipients.occasional.map(({ vm }): [string, number] => [vm, occasionalMs])];
   }
 
-  /** @returns what it says of itself */
-  says(now: number, nextWithinMs: number): peerBooks.PeerState {
+  /** @returns the state it reports */
+  state(now: number, nextWithinMs: number): peerTables.PeerState {
     const { vm, dataCentre, capacity } = this.entry;
-    const { active, activeVms: names } = this.standing;
+    const { active, activeVms: names } = this.activeSet;
     return {
       vm,
       incarnation: vm,
       dataCentre,
       ready: this.ready,
       active,
-      deciding: active,
+      dispatching: active,
       activeVms: names,
       capacity,
       busyCores: this.busyCores,
@@ -85,46 +89,46 @@
   }
 }
 
-/** Daemons of several data centres that speak with each other over a network that loses a part, in virtual time. */
-export class TalkingFleet {
-  readonly daemons: TalkingDaemon[];
+/** Daemons of several data centres that exchange heartbeats over a lossy network, in virtual time. */
+export class SimulatedFleet {
+  readonly daemons: SimulatedDaemon[];
   readonly #random: common.SeededRandom;
-  readonly #lostShare: number;
+  readonly #lossRate: number;
   #now = 0;
 
   /**
    * @param entries - the daemons
-   * @param seed - of what is lost
-   * @param lostShare - part of what is said that is lost
+   * @param seed - seed of the losses
+   * @param lossRate - share of the heartbeats that is lost
    */
-  constructor(entries: readonly daemonEntries.DaemonEntry[], seed: number, lostShare = 0) {
-    this.daemons = entries.map((entry) => new TalkingDaemon(entry));
+  constructor(entries: readonly daemonEntries.DaemonEntry[], seed: number, lossRate = 0) {
+    this.daemons = entries.map((entry) => new SimulatedDaemon(entry));
     this.#random = new common.SeededRandom(seed);
-    this.#lostShare = lostShare;
+    this.#lossRate = lossRate;
   }
 
-  /** @returns daemons that run and take callers, in one data centre or in all */
-  active(dataCentre?: string): TalkingDaemon[] {
+  /** @returns running active daemons, in one data centre or in all */
+  active(dataCentre?: string): SimulatedDaemon[] {
     return this.daemons
-      .filter(({ up, standing }) => up && standing.active)
+      .filter(({ up, activeSet }) => up && activeSet.active)
       .filter(({ entry }) => dataCentre === undefined || entry.dataCentre === dataCentre);
   }
 
-  /** @param ms - time to go on, in milliseconds */
-  goOn(ms: number): void {
-    for (const until = this.#now + ms; this.#now < until; this.#now += LOOK_MS) this.#turn();
+  /** @param ms - time to simulate, in milliseconds */
+  advance(ms: number): void {
+    for (const until = this.#now + ms; this.#now < until; this.#now += STEP_MS) this.#step();
   }
 
-  #turn(): void {
+  #step(): void {
     const byVm = new Map(this.daemons.map((daemon) => [daemon.entry.vm, daemon]));
     for (const daemon of this.daemons.filter(({ up }) => up)) {
       const others = this.daemons.filter((other) => other !== daemon).map(({ entry }) => entry);
-      for (const [vm, nextWithinMs] of daemon.look(this.#now, others)) {
+      for (const [vm, nextWithinMs] of daemon.selectHeartbeats(this.#now, others)) {
         const receiver = byVm.get(vm);
-        const isLost = this.#random.next() < this.#lostShare;
-        if (receiver === undefined || isLost || !receiver.up || !receiver.hears) continue;
-        receiver.heardCount++;
-        receiver.book.hear(daemon.says(this.#now, nextWithinMs));
+        const isLost = this.#random.next() < this.#lossRate;
+        if (receiver === undefined || isLost || !receiver.up || !receiver.receives) continue;
+        receiver.receivedCount++;
+        receiver.peerTable.record(daemon.state(this.#now, nextWithinMs));
       }
     }
   }
--- a/packages/gateway/tests/peerIncarnations.test.ts
+++ b/packages/gateway/tests/peerIncarnations.test.ts
@@ -4,33 +4,33 @@
 import * as serving from "@camphorcourse/serving";
 import * as uvu from "uvu";
 import * as assert from "uvu/assert";
-import type * as beliefs from "../src/fleetViewUpdater.js";
+import type * as fleetViewUpdaters from "../src/fleetViewUpdater.js";
 import * as decisionLogs from "../src/decisionLog.js";
 import * as fleetViews from "../src/fleetView.js";
 import * as peerLinks from "../src/peerLink.js";
 import * as freePorts from "./helpers/freePort.js";
 
-/** Starts of one endpoint, in Unix milliseconds. */
+/** Start times of two incarnations of one endpoint, in Unix milliseconds. */
 const FIRST = 1_790_000_000_000;
 const SECOND = FIRST + 40_000;
 
-/** An entry far longer than an endpoint's own. */
+/** Size of an entry far larger than an endpoint's own. */
 const LONG_BYTES = 70_000;
 
 const CHECK_MS = 10;
-const MOST_CHECKS = 500;
+const MAX_CHECKS = 500;
 const MEMORY_TOKENS = 10_000;
 
-const suite = uvu.suite("what daemons tell each other of endpoints that start again");
+const suite = uvu.suite("peer reports on restarted endpoints");
 
 type PulseFields = Exclude<protobuf.MessageInitShape<typeof messages.PulseSchema>, messages.Pulse>;
 
-/** One daemon's link, and a peer of it that is a bare socket. */
-class Pair {
+/** One daemon's peer link, and a bare socket as its peer. */
+class LinkFixture {
   readonly view = new fleetViews.FleetView();
   readonly board = new serving.EngineLoadTracker();
-  readonly departures: [id: string, departure: beliefs.Departure][] = [];
-  readonly heard: messages.Pulse[] = [];
+  readonly departures: [id: string, departure: fleetViewUpdaters.Departure][] = [];
+  readonly received: messages.Pulse[] = [];
   readonly lines: string[] = [];
   #link: peerLinks.PeerLink | undefined;
   #port = 0;
@@ -45,7 +45,7 @@
     this.#port = await freePorts.freePort();
     const address = { host: "127.0.0.1", port: this.#port };
     await new Promise<void>((resolve) => this.#peer.bind(0, "127.0.0.1", resolve));
-    this.#peer.on("message", (bytes) => this.heard.push(protobuf.fromBinary(messages.PulseSchema, bytes)));
+    this.#peer.on("message", (bytes) => this.received.push(protobuf.fromBinary(messages.PulseSchema, bytes)));
     const peers = `127.0.0.1:${this.#peer.address().port}`;
     const other = { vm: "vm-2", incarnation: "i", dataCentre: "a", callers: "127.0.0.1:1", peers, capacity: 1 };
     this.view.daemons.set("vm-2", other);
@@ -72,8 +72,8 @@
     await this.#link.start();
   }
 
-  /** The peer says something, and a word that shows that it was taken. */
-  async hear(fields: PulseFields): Promise<void> {
+  /** The peer sends a heartbeat with a marker departure, which shows that the heartbeat was applied. */
+  async receive(fields: PulseFields): Promise<void> {
     const marker = { endpoint: `marker-${this.departures.length}`, revision: 1n };
     const pulse = { vm: "vm-2", ready: true, ...fields, departures: [...(fields.departures ?? []), marker] };
     const bytes = protobuf.toBinary(messages.PulseSchema, protobuf.create(messages.PulseSchema, pulse));
@@ -88,11 +88,11 @@
 }
 
 async function until(holds: () => boolean): Promise<void> {
-  for (let check = 0; check < MOST_CHECKS; check++) {
+  for (let check = 0; check < MAX_CHECKS; check++) {
     if (holds()) return;
     await new Promise((resolve) => setTimeout(resolve, CHECK_MS));
   }
-  throw new Error("not reached");
+  throw new Error("condition not reached");
 }
 
 function engine(bornAt: number | undefined): serving.Endpoint {
@@ -100,13 +100,13 @@
   return { id: "e1", ...place, role: serving.EngineRole.Decode, leaving: false, bornAt };
 }
 
-let pair: Pair;
+let fixture: LinkFixture;
 suite.before.each(async () => {
-  pair = new Pair();
-  await pair.start();
+  fixture = new LinkFixture();
+  await fixture.start();
 });
 suite.after.each(() => {
-  pair.stop();
+  fixture.stop();
 });
 
 const PROMPT: serving.Prompt = {
@@ -119,77 +119,79 @@
   outputTokens: 10,
 };
 
-// A daemon hears that a life of an endpoint is leaving, that an entry is gone, and that another writer's entry stands.
-// Told without the difference, the first would take out the endpoint's next life, the second would let it be believed
-// in, and with the third peers would drop what they know of an endpoint that is back in a moment.
+// A daemon learns that an incarnation of an endpoint is leaving, that an entry is gone, and that a key holds another
+// writer's entry. If these were not distinguished, the first would remove the endpoint's next incarnation, the second
+// would let it be used, and with the third peers would drop what they know of an endpoint that returns in a moment.
 suite(
-  "a departure is told with the life that is leaving, a removal without, another writer's entry as such",
+  "a departure is sent with the incarnation that is leaving, a removal without, another writer's entry as set aside",
   async () => {
-    const departures: [string, beliefs.Departure][] = [
+    const departures: [string, fleetViewUpdaters.Departure][] = [
       ["e1", { revision: 12, bornAt: FIRST, setAside: false }],
       ["e2", { revision: 13, bornAt: undefined, setAside: false }],
       ["e3", { revision: 14, bornAt: undefined, setAside: true }],
     ];
-    for (const [id, departure] of departures) pair.link.noteDeparture(id, departure);
-    await until(() => pair.heard.some((pulse) => pulse.departures.length === departures.length));
-    const told = pair.heard.find((pulse) => pulse.departures.length === departures.length);
-    await pair.hear({ departures: told?.departures ?? [] });
+    for (const [id, departure] of departures) fixture.link.noteDeparture(id, departure);
+    await until(() => fixture.received.some((pulse) => pulse.departures.length === departures.length));
+    const sent = fixture.received.find((pulse) => pulse.departures.length === departures.length);
+    await fixture.receive({ departures: sent?.departures ?? [] });
     assert.equal(
-      pair.departures.filter(([id]) => id.startsWith("e")),
+      fixture.departures.filter(([id]) => id.startsWith("e")),
       departures,
     );
   },
 );
 
-// A peer that hasn't heard of the start goes on telling that the engine is on the way to another role. The new life
-// knows of no order: taken for changing, it would get nothing for 12 s.
-suite("an order to the former life doesn't keep the new one from work", async () => {
-  pair.view.directory.put(engine(SECOND), 5);
+// A peer that doesn't know of the restart still reports that the engine is changing its role. The new incarnation never
+// received the order; if it counted as changing, it would get no work for 12 s.
+suite("an order to the previous incarnation doesn't keep the new one from work", async () => {
+  fixture.view.directory.put(engine(SECOND), 5);
   const change = { endpoint: "e1", role: "prefill", forMs: 12_000 };
-  await pair.hear({ changing: [{ ...change, startedAtMs: BigInt(FIRST) }] });
-  assert.not.ok(pair.view.pendingRoleChanges.has("e1"));
-  await pair.hear({ changing: [{ ...change, startedAtMs: BigInt(SECOND) }] });
-  assert.ok(pair.view.isChangingRole(engine(SECOND), performance.now()));
+  await fixture.receive({ changing: [{ ...change, startedAtMs: BigInt(FIRST) }] });
+  assert.not.ok(fixture.view.pendingRoleChanges.has("e1"));
+  await fixture.receive({ changing: [{ ...change, startedAtMs: BigInt(SECOND) }] });
+  assert.ok(fixture.view.isChangingRole(engine(SECOND), performance.now()));
 });
 
-suite("an order that was noted for the former life ends with it", () => {
+suite("an order that was recorded for the previous incarnation ends with it", () => {
   const until = performance.now() + 12_000;
-  pair.view.pendingRoleChanges.set("e1", { until, role: serving.EngineRole.Prefill, bornAt: FIRST });
-  assert.ok(pair.view.isChangingRole(engine(FIRST), performance.now()));
-  assert.not.ok(pair.view.isChangingRole(engine(SECOND), performance.now()));
+  fixture.view.pendingRoleChanges.set("e1", { until, role: serving.EngineRole.Prefill, bornAt: FIRST });
+  assert.ok(fixture.view.isChangingRole(engine(FIRST), performance.now()));
+  assert.not.ok(fixture.view.isChangingRole(engine(SECOND), performance.now()));
 });
 
-// Daemons of the older form tell no start, and endpoints of the older form say none. Both are believed as before.
-suite("an order that is told without a start is believed", async () => {
+// Older daemons send no start time, and older endpoints have none. Their reports are accepted.
+suite("an order that is sent without a start time is accepted", async () => {
   const change = { endpoint: "e1", role: "prefill", forMs: 12_000 };
-  pair.view.directory.put(engine(SECOND), 5);
-  await pair.hear({ changing: [change] });
-  assert.ok(pair.view.isChangingRole(engine(SECOND), performance.now()));
+  fixture.view.directory.put(engine(SECOND), 5);
+  await fixture.receive({ changing: [change] });
+  assert.ok(fixture.view.isChangingRole(engine(SECOND), performance.now()));
 });
 
-// Parts that the former life read are told late. Taken for kept, prompts would go there as to their home.
-suite("parts that the former life has read aren't taken for kept", async () => {
-  pair.view.directory.put(engine(SECOND), 5);
-  const cached = (): number => pair.board.cache("e1", MEMORY_TOKENS).cachedTokens(PROMPT);
+// Parts that the previous incarnation read are reported late. If they counted as cached, prompts would be sent there
+// for them.
+suite("parts that the previous incarnation has read don't count as cached", async () => {
+  fixture.view.directory.put(engine(SECOND), 5);
+  const cached = (): number => fixture.board.cache("e1", MEMORY_TOKENS).cachedTokens(PROMPT);
   assert.is(cached(), 0);
   const read = { endpoint: "e1", model: "m", part: "shared", tokens: 500 };
-  await pair.hear({ reads: [{ ...read, startedAtMs: BigInt(FIRST) }] });
+  await fixture.receive({ reads: [{ ...read, startedAtMs: BigInt(FIRST) }] });
   assert.is(cached(), 0);
-  await pair.hear({ reads: [{ ...read, startedAtMs: BigInt(SECOND) }] });
+  await fixture.receive({ reads: [{ ...read, startedAtMs: BigInt(SECOND) }] });
   assert.is(cached(), 500);
 });
 
-// Another writer leaves an entry of many kilobytes that can be used. A pulse with it could not be sent, and this daemon
-// would look dead to all others for as long as it tells it.
-suite("an entry that is too long for a pulse doesn't silence the daemon", async () => {
-  pair.view.endpointDocuments.set("long", { value: new Uint8Array(LONG_BYTES), revision: 5 });
-  pair.view.endpointDocuments.set("short", { value: new Uint8Array(200), revision: 6 });
-  pair.link.noteEntry("long");
-  pair.link.noteEntry("short");
-  pair.link.sendHeartbeatsNow();
-  const told = (id: string): boolean => pair.heard.some((pulse) => pulse.entries.some((entry) => entry.id === id));
-  await until(() => told("short"));
-  assert.not.ok(told("long"));
+// Another writer leaves a usable entry of many kilobytes. A heartbeat with it could not be sent, and this daemon would
+// appear dead to all others while it includes the entry.
+suite("an entry that is too long for a heartbeat doesn't keep it from being sent", async () => {
+  fixture.view.endpointDocuments.set("long", { value: new Uint8Array(LONG_BYTES), revision: 5 });
+  fixture.view.endpointDocuments.set("short", { value: new Uint8Array(200), revision: 6 });
+  fixture.link.noteEntry("long");
+  fixture.link.noteEntry("short");
+  fixture.link.sendHeartbeatsNow();
+  const isSent = (id: string): boolean =>
+    fixture.received.some((pulse) => pulse.entries.some((entry) => entry.id === id));
+  await until(() => isSent("short"));
+  assert.not.ok(isSent("long"));
 });
 
 suite.run();
--- a/packages/gateway/tests/peerLink.test.ts
+++ b/packages/gateway/tests/peerLink.test.ts
@@ -12,11 +12,11 @@
 
 const HOST = "127.0.0.1";
 
-/** Daemons of a fleet in which a daemon speaks once a second. */
+/** Size of a fleet in which a daemon sends one heartbeat per second. */
 const FLEET_SIZE = 150;
 
-/** Well within the second until it speaks again, in milliseconds. */
-const AT_ONCE_MS = 600;
+/** Well within the second until the next heartbeat, in milliseconds. */
+const PROMPT_SEND_MS = 600;
 
 const CONFIGURATION: serving.Configuration = {
   version: 1,
@@ -25,37 +25,40 @@
   limits: { headerBytes: 1_000, bodyBytes: 1_000, headerTimeoutMs: 1_000, idleTimeoutMs: 1_000 },
 };
 
-const suite = uvu.suite("what a daemon tells its peers");
+const suite = uvu.suite("peer link");
 
 async function within(holds: () => boolean, what: string): Promise<void> {
-  const until = performance.now() + AT_ONCE_MS;
+  const until = performance.now() + PROMPT_SEND_MS;
   while (!holds()) {
-    if (performance.now() > until) throw new Error(`not at once: ${what}`);
+    if (performance.now() > until) throw new Error(`not in time: ${what}`);
     await new Promise((resolve) => setTimeout(resolve, 5));
   }
 }
 
-// A configuration is accepted. Those that read of it tell those that read seldom; with their next pulse and their next
-// look, a second later each in a large fleet, callers would get 404 on an added route for longer than the bound.
-suite("a new configuration is said, and told to those that read seldom, at once", async () => {
+// A configuration is accepted, and the daemons that read it send it to those that rarely read. If they waited for their
+// next heartbeat and check, a second later each in a large fleet, callers would get 404 on an added route for longer
+// than the limit.
+suite("a new configuration is reported in heartbeats, and sent to daemons that rarely read, at once", async () => {
   const ignore = (): void => undefined;
   const peer = datagrams.createSocket("udp4");
   const port = await freePorts.freePort();
   await new Promise<void>((resolve) => peer.bind(port, HOST, resolve));
-  const heard: bigint[] = [];
-  peer.on("message", (bytes) => heard.push(protobuf.fromBinary(messages.PulseSchema, bytes).configurationRevision));
-  const told: bigint[] = [];
-  let endpointsTold = 0;
+  const heartbeatRevisions: bigint[] = [];
+  peer.on("message", (bytes) =>
+    heartbeatRevisions.push(protobuf.fromBinary(messages.PulseSchema, bytes).configurationRevision),
+  );
+  const sentRevisions: bigint[] = [];
+  let sentEndpoints = 0;
   const server = await peerNews.serveNews({ host: HOST, port }, (news) => {
-    endpointsTold += news.endpoints.length;
-    told.push(news.configurationRevision);
+    sentEndpoints += news.endpoints.length;
+    sentRevisions.push(news.configurationRevision);
     return Number(news.configurationRevision);
   });
 
   const view = new fleetViews.FleetView();
   const entry = { vm: "vm-1", incarnation: "i", dataCentre: "a", callers: "", peers: "", capacity: 1 };
   const others = Array.from({ length: FLEET_SIZE }, (_, index) => `vm-${index + 2}`);
-  // Nobody listens on the others' address; only vm-2 is there.
+  // Nothing listens on the other addresses; only vm-2 exists.
   for (const vm of others) view.daemons.set(vm, { ...entry, vm, peers: `${HOST}:${vm === "vm-2" ? port : 9}` });
   view.configure(CONFIGURATION, new Uint8Array([1]), 1);
   view.endpointDocuments.set("e1", { value: new Uint8Array([1]), revision: 1 });
@@ -79,16 +82,16 @@
     onDeparture: ignore,
   });
   try {
-    // Read before the sockets are open: nothing is said, and nothing breaks.
+    // The configuration is read before the sockets are open: nothing is sent, and nothing fails.
     link.noteConfiguration();
     await link.start();
-    await within(() => heard.length === 1, "the first pulse");
-    link.peerTable.hear({
+    await within(() => heartbeatRevisions.length === 1, "the first heartbeat");
+    link.peerTable.record({
       vm: "vm-2",
       incarnation: "i",
       dataCentre: "a",
       active: true,
-      deciding: true,
+      dispatching: true,
       activeVms: [],
       capacity: 1,
       busyCores: 0,
@@ -103,13 +106,13 @@
     });
     view.configure(CONFIGURATION, new Uint8Array([2]), 2);
     link.noteConfiguration();
-    await within(() => heard.includes(2n), "a pulse with the new revision");
-    await within(() => told.length > 0, "the telling of it");
-    assert.equal(told, [2n]);
-    assert.is(endpointsTold, 0, "whom the key-value service answers needs no list of endpoints");
+    await within(() => heartbeatRevisions.includes(2n), "a heartbeat with the new revision");
+    await within(() => sentRevisions.length > 0, "the news with the configuration");
+    assert.equal(sentRevisions, [2n]);
+    assert.is(sentEndpoints, 0, "a daemon that the key-value service answers needs no list of endpoints");
   } finally {
     link.stop();
-    // And after they are closed.
+    // The same holds after they are closed.
     link.noteConfiguration();
     peer.close();
     server.close();
--- a/packages/gateway/tests/peerTable.test.ts
+++ b/packages/gateway/tests/peerTable.test.ts
@@ -1,17 +1,17 @@
 import * as uvu from "uvu";
 import * as assert from "uvu/assert";
-import * as peerBooks from "../src/peerTable.js";
+import * as peerTables from "../src/peerTable.js";
 
-const suite = uvu.suite("what peers say of themselves");
+const suite = uvu.suite("peer table");
 
-function state(vm: string, heardAt: number, options: Partial<peerBooks.PeerState> = {}): peerBooks.PeerState {
+function state(vm: string, heardAt: number, options: Partial<peerTables.PeerState> = {}): peerTables.PeerState {
   return {
     vm,
     incarnation: vm,
     dataCentre: "a",
     ready: true,
     active: true,
-    deciding: true,
+    dispatching: true,
     activeVms: [vm],
     capacity: 1,
     busyCores: 0,
@@ -26,189 +26,200 @@
   };
 }
 
-const KNOWN: peerBooks.Known = { configurationRevision: 5, answered: true, followsClosely: true };
+const SENDER: peerTables.SenderState = { configurationRevision: 5, storeAnswers: true, followsClosely: true };
 
 const NAMES = ["vm-1", "vm-2", "vm-3", "vm-4"];
 
-/** How daemons look after one that lags behind. */
-interface Watch {
-  /** Time between two looks, in milliseconds. */
-  readonly lookEveryMs?: number;
-  /** Daemons whose telling never arrives, though the others hear them. */
-  readonly mute?: readonly string[];
-  /** Milliseconds for which the key-value service has not answered them. */
+/** Conditions while vm-4 is behind. */
+interface Scenario {
+  /** Time between two checks, in milliseconds. */
+  readonly checkEveryMs?: number;
+  /** Daemons whose news never arrives, although the others receive their heartbeats. */
+  readonly failingSenders?: readonly string[];
+  /** Milliseconds for which the key-value service has not answered the senders. */
   readonly storeSilentMs?: number;
-  /** Daemons that know what vm-4 lacks. */
-  readonly tellers?: readonly string[];
-  /** Whether vm-4 stays behind though it is told. */
-  readonly deaf?: boolean;
+  /** Daemons that have what vm-4 lacks. */
+  readonly senders?: readonly string[];
+  /** Whether vm-4 stays behind although news is sent to it. */
+  readonly staysBehind?: boolean;
 }
 
-/** What each daemon tells whom while vm-4 lags behind, over three seconds; once told, vm-4 says that it has it. */
-function tellings(
-  lagging: Partial<peerBooks.PeerState>,
-  { lookEveryMs = 100, mute = [], storeSilentMs = 100, tellers = NAMES.slice(0, 3), deaf = false }: Watch = {},
-): { teller: string; told: string; at: number }[] {
-  const told: { teller: string; told: string; at: number }[] = [];
-  const books = tellers.map((vm) => ({ vm, book: new peerBooks.PeerTable(vm) }));
-  const known = { ...KNOWN, answered: storeSilentMs < peerBooks.STORE_SILENT_MS };
-  for (const { book } of books) book.followInterval(lookEveryMs);
-  for (let now = 0; now <= 3_000; now += lookEveryMs) {
-    const last = told.length === 0 || deaf ? lagging : { ...lagging, configurationRevision: 5 };
-    for (const { vm, book } of books) {
-      for (const peer of [...tellers, "vm-4"]) {
-        if (peer !== vm) book.hear(state(peer, now, peer === "vm-4" ? last : { storeSilentMs }));
+/**
+ * The news that daemons send within three seconds while vm-4 is behind. Once it has received news, vm-4 reports the new
+ * revision.
+ */
+function sentUpdates(
+  lagging: Partial<peerTables.PeerState>,
+  {
+    checkEveryMs = 100,
+    failingSenders = [],
+    storeSilentMs = 100,
+    senders = NAMES.slice(0, 3),
+    staysBehind = false,
+  }: Scenario = {},
+): { sender: string; receiver: string; at: number }[] {
+  const sent: { sender: string; receiver: string; at: number }[] = [];
+  const tables = senders.map((vm) => ({ vm, table: new peerTables.PeerTable(vm) }));
+  const sender = { ...SENDER, storeAnswers: storeSilentMs < peerTables.STORE_SILENT_MS };
+  for (const { table } of tables) table.setHeartbeatInterval(checkEveryMs);
+  for (let now = 0; now <= 3_000; now += checkEveryMs) {
+    const last = sent.length === 0 || staysBehind ? lagging : { ...lagging, configurationRevision: 5 };
+    for (const { vm, table } of tables) {
+      for (const peer of [...senders, "vm-4"]) {
+        if (peer !== vm) table.record(state(peer, now, peer === "vm-4" ? last : { storeSilentMs }));
       }
-      for (const each of book.toTell(known, now)) {
-        if (!mute.includes(vm)) told.push({ teller: vm, told: each.vm, at: now });
+      for (const each of table.selectReceivers(sender, now)) {
+        if (!failingSenders.includes(vm)) sent.push({ sender: vm, receiver: each.vm, at: now });
       }
     }
   }
-  return told;
+  return sent;
 }
 
-// One daemon is cut off from the key-value service when a configuration changes; the bound for it to be in force
-// is two seconds. Its peers tell it, and one of them does, not all.
-suite("a daemon that stays behind is told in time, by one peer", () => {
-  const told = tellings({ configurationRevision: 4 });
-  assert.ok(told.length > 0);
-  assert.ok((told[0]?.at ?? 9_999) <= 1_200);
+// A daemon is cut off from the key-value service when a configuration changes, which must be in force within two
+// seconds. One of its peers sends it the configuration, not all of them.
+suite("a daemon that stays behind is sent news in time, by one peer", () => {
+  const sent = sentUpdates({ configurationRevision: 4 });
+  assert.ok(sent.length > 0);
+  assert.ok((sent[0]?.at ?? 9_999) <= 1_200);
   assert.equal(
-    told.map((each) => each.told),
+    sent.map((each) => each.receiver),
     ["vm-4"],
   );
 });
 
-// A daemon that reads seldom relies on its peers, which look once a second in a large fleet. Were it only noted at the
-// first look and told at the second, callers would get 404 on an added route for longer than the bound of two seconds.
-suite("a daemon that reads seldom is told at the first look", () => {
-  const told = tellings({ configurationRevision: 4, followsClosely: false }, { lookEveryMs: 1_000 });
+// A daemon that rarely reads relies on its peers, which check once a second in a large fleet. If it were only noted at
+// the first check and served at the second, callers would get 404 on an added route for longer than the limit of two
+// seconds.
+suite("a daemon that rarely reads is sent news at the first check", () => {
+  const sent = sentUpdates({ configurationRevision: 4, followsClosely: false }, { checkEveryMs: 1_000 });
   assert.equal(
-    told.map(({ told: vm, at }) => ({ vm, at })),
+    sent.map(({ receiver: vm, at }) => ({ vm, at })),
     [{ vm: "vm-4", at: 0 }],
   );
 });
 
-// The peer that is to tell has just died, or doesn't hear the one that is behind; the others still hear it, and each
-// of them would stay silent, as the telling is not theirs.
-suite("another peer tells when the chosen one doesn't", () => {
+// The chosen sender has just died, or doesn't receive heartbeats from the daemon that is behind. The other daemons
+// still receive them, and would all rely on the chosen sender.
+suite("another peer sends news when the chosen one doesn't", () => {
   const lagging = { configurationRevision: 4, followsClosely: false };
-  const [first] = tellings(lagging, { lookEveryMs: 1_000 });
-  const mute = [first?.teller ?? ""];
-  const second = tellings(lagging, { lookEveryMs: 1_000, mute });
+  const [first] = sentUpdates(lagging, { checkEveryMs: 1_000 });
+  const failingSenders = [first?.sender ?? ""];
+  const second = sentUpdates(lagging, { checkEveryMs: 1_000, failingSenders });
   assert.equal(
     second.map(({ at }) => at),
     [1_000],
   );
-  mute.push(second[0]?.teller ?? "");
-  const third = tellings(lagging, { lookEveryMs: 1_000, mute });
+  failingSenders.push(second[0]?.sender ?? "");
+  const third = sentUpdates(lagging, { checkEveryMs: 1_000, failingSenders });
   assert.equal(
     third.map(({ at }) => at),
     [2_000],
   );
 });
 
-// A configuration spreads in a large fleet. Were each that was just told to stand for the choice too, the telling of the
-// others would pass on from one to the next, each time until that one's next look: over three seconds for all of them.
-suite("one that was told itself leaves the telling to those that follow closely", () => {
+// A configuration spreads in a large fleet. If daemons that were just served took part in the choice of senders, the
+// remaining receivers would be reassigned from one sender to the next, each time until its next check: over three
+// seconds for all of them.
+suite("a daemon that was sent news itself leaves sending to the close followers", () => {
   const behind = { configurationRevision: 4, followsClosely: false };
-  const own = { ...KNOWN, followsClosely: false };
+  const own = { ...SENDER, followsClosely: false };
   for (const vm of ["vm-1", "vm-2", "vm-3"]) {
-    const book = new peerBooks.PeerTable(vm);
-    book.hear(state("vm-4", 0, behind));
-    book.hear(state("vm-close", 0));
-    assert.equal(book.toTell(own, 0), []);
-    const alone = new peerBooks.PeerTable(vm);
-    alone.hear(state("vm-4", 0, behind));
-    assert.is(alone.toTell(own, 0).length, 1);
+    const table = new peerTables.PeerTable(vm);
+    table.record(state("vm-4", 0, behind));
+    table.record(state("vm-close", 0));
+    assert.equal(table.selectReceivers(own, 0), []);
+    const alone = new peerTables.PeerTable(vm);
+    alone.record(state("vm-4", 0, behind));
+    assert.is(alone.selectReceivers(own, 0).length, 1);
   }
 });
 
-// A configuration changes in a fleet of 79. Those that follow closely read it in the same moment and have heard of nobody
-// else who has it: each of the eight told all others, 71 each and their own kind too, with the whole list of
-// endpoints. Each daemon read the same document up to eight times, and the tellers' links (10 Mbit/s) and processors
-// (a third of a core) were busy with it for seconds while requests waited behind: sixteen reached an engine 0.9 s after
-// their callers' time was up (rule GONE on five of seven days). They share the telling out from the start.
-suite("a configuration that several read at once is told to each daemon once", () => {
-  const close = Array.from({ length: 8 }, (_, index) => `vm-close-${index}`);
-  const seldom = Array.from({ length: 71 }, (_, index) => `vm-${index}`);
-  const told = close.flatMap((own) => {
-    const book = new peerBooks.PeerTable(own);
-    const others = close.filter((vm) => vm !== own);
-    for (const vm of others) book.hear(state(vm, 0, { configurationRevision: 4 }));
-    for (const vm of seldom) book.hear(state(vm, 0, { configurationRevision: 4, followsClosely: false }));
-    return book.toTell(KNOWN, 0).map((each) => each.vm);
+// In a fleet of 79, the close followers read a changed configuration at the same moment, before any heartbeat showed
+// that another one had it. Each of the eight sent it to all 71 other daemons and to the other close followers, with the
+// whole list of endpoints. Every daemon read the same document up to eight times, and the senders' links (10 Mbit/s)
+// and processors (a third of a core) were busy for seconds while requests waited: sixteen reached an engine 0.9 s after
+// their deadline (rule GONE on five of seven days). So they share the receivers from the start.
+suite("a configuration that several daemons read at once is sent to each daemon once", () => {
+  const closeFollowers = Array.from({ length: 8 }, (_, index) => `vm-close-${index}`);
+  const rareReaders = Array.from({ length: 71 }, (_, index) => `vm-${index}`);
+  const sent = closeFollowers.flatMap((own) => {
+    const table = new peerTables.PeerTable(own);
+    const others = closeFollowers.filter((vm) => vm !== own);
+    for (const vm of others) table.record(state(vm, 0, { configurationRevision: 4 }));
+    for (const vm of rareReaders) table.record(state(vm, 0, { configurationRevision: 4, followsClosely: false }));
+    return table.selectReceivers(SENDER, 0).map((each) => each.vm);
   });
-  assert.equal([...told].sort(), [...seldom].sort());
+  assert.equal([...sent].sort(), [...rareReaders].sort());
 });
 
-// A daemon is heard and can't be reached. Were more and more to tell it, the whole fleet would send it documents for
-// as long as it is cut off.
-suite("few tell a daemon that can't be reached", () => {
-  const tellers = Array.from({ length: 20 }, (_, index) => `vm-${index + 10}`);
-  const told = tellings({ configurationRevision: 4, followsClosely: false }, { tellers, deaf: true });
-  assert.is(new Set(told.map((each) => each.teller)).size, 3);
+// A daemon's heartbeats arrive but it can't be reached. If more and more daemons sent to it, the whole fleet would send
+// it documents for as long as it is cut off.
+suite("few daemons send to one that can't be reached", () => {
+  const senders = Array.from({ length: 20 }, (_, index) => `vm-${index + 10}`);
+  const sent = sentUpdates({ configurationRevision: 4, followsClosely: false }, { senders, staysBehind: true });
+  assert.is(new Set(sent.map((each) => each.sender)).size, 3);
 });
 
-// The service is away for all when a daemon starts and is heard by the whole fleet. One peer tells it; were all to do
-// so, as none is answered, it would take hundreds of whole documents while it starts.
-suite("one peer tells a daemon that starts while the service is away", () => {
-  const silent = { storeSilentMs: peerBooks.STORE_SILENT_MS + 1 };
-  assert.is(tellings({ configurationRevision: 0, ...silent }, silent).length, 1);
+// The key-value service is unreachable for all when a daemon starts, and the whole fleet receives its heartbeats. If
+// all daemons sent it news because none is answered, it would get hundreds of whole documents during its start.
+suite("one peer sends news to a daemon that starts while the service is unreachable", () => {
+  const silent = { storeSilentMs: peerTables.STORE_SILENT_MS + 1 };
+  assert.is(sentUpdates({ configurationRevision: 0, ...silent }, silent).length, 1);
 });
 
-// A VM was behind, fell silent and starts again. It is new to its peers: one of them tells it, not each of those that
-// had waited in vain before.
-suite("a daemon that has started again is waited for anew", () => {
-  const book = new peerBooks.PeerTable("vm-1");
-  book.hear(state("vm-4", 0, { configurationRevision: 4 }));
-  assert.equal(book.toTell(KNOWN, 0), []);
-  book.hear(state("vm-4", 5_000, { configurationRevision: 0, incarnation: "after" }));
-  assert.equal(book.toTell(KNOWN, 5_000), []);
-  book.hear(state("vm-4", 6_000, { configurationRevision: 0, incarnation: "after" }));
-  assert.is(book.toTell(KNOWN, 6_000).length, 1);
+// A VM was behind, fell silent and restarts. It is new to its peers: one of them sends it news, not each of those that
+// had waited for it before.
+suite("the grace period of a daemon starts again after its restart", () => {
+  const table = new peerTables.PeerTable("vm-1");
+  table.record(state("vm-4", 0, { configurationRevision: 4 }));
+  assert.equal(table.selectReceivers(SENDER, 0), []);
+  table.record(state("vm-4", 5_000, { configurationRevision: 0, incarnation: "after" }));
+  assert.equal(table.selectReceivers(SENDER, 5_000), []);
+  table.record(state("vm-4", 6_000, { configurationRevision: 0, incarnation: "after" }));
+  assert.is(table.selectReceivers(SENDER, 6_000).length, 1);
 });
 
-suite("a daemon that the key-value service doesn't answer is told what the endpoints are", () => {
-  assert.ok(tellings({ storeSilentMs: peerBooks.STORE_SILENT_MS + 1 }).length > 0);
+suite("a daemon that the key-value service doesn't answer is sent the endpoints", () => {
+  assert.ok(sentUpdates({ storeSilentMs: peerTables.STORE_SILENT_MS + 1 }).length > 0);
 });
 
-suite("nobody is told what it knows", () => {
-  assert.equal(tellings({}), []);
+suite("no daemon is sent what it already has", () => {
+  assert.equal(sentUpdates({}), []);
 });
 
-// A VM loses power: its entry stays until its lease lapses, but callers must not be sent there for that long.
-suite("callers are not sent to a daemon that has fallen silent", () => {
-  const book = new peerBooks.PeerTable("vm-1");
-  book.hear(state("vm-2", 0));
-  book.hear(state("vm-3", 2_000));
-  assert.not.ok(book.mayTakeCallers("vm-2", 2_000));
-  assert.ok(book.mayTakeCallers("vm-3", 2_000));
-  assert.ok(book.mayTakeCallers("vm-never-heard", 2_000));
+// A VM loses power. Its entry exists until its lease expires, but callers must not be sent there for that long.
+suite("callers are not sent to a daemon that has become silent", () => {
+  const table = new peerTables.PeerTable("vm-1");
+  table.record(state("vm-2", 0));
+  table.record(state("vm-3", 2_000));
+  assert.not.ok(table.mayTakeCallers("vm-2", 2_000));
+  assert.ok(table.mayTakeCallers("vm-3", 2_000));
+  assert.ok(table.mayTakeCallers("vm-never-heard", 2_000));
 });
 
-// A daemon that hears nobody is itself cut off; then silence says nothing of the others.
-suite("a daemon that hears nobody still names the others", () => {
-  const book = new peerBooks.PeerTable("vm-1");
-  book.hear(state("vm-2", 0));
-  assert.ok(book.mayTakeCallers("vm-2", 60_000));
+// A daemon that receives no heartbeats is itself cut off, so the silence says nothing about the others.
+suite("a daemon that receives no heartbeats still names the others to callers", () => {
+  const table = new peerTables.PeerTable("vm-1");
+  table.record(state("vm-2", 0));
+  assert.ok(table.mayTakeCallers("vm-2", 60_000));
 });
 
-// A daemon reads the key-value service seldom and relies on its peers. A change of the configuration has to reach it
-// long before it would read of it itself.
-suite("a daemon that reads seldom is told at once", () => {
-  const told = tellings({ configurationRevision: 4, followsClosely: false });
-  assert.ok((told[0]?.at ?? 9_999) <= 200);
+// A daemon that rarely reads the key-value service relies on its peers. A configuration change has to reach it long
+// before it would read the change itself.
+suite("a daemon that rarely reads is sent news at once", () => {
+  const sent = sentUpdates({ configurationRevision: 4, followsClosely: false });
+  assert.ok((sent[0]?.at ?? 9_999) <= 200);
 });
 
-suite("the service counts as away when most daemons miss it, not when one does", () => {
-  const book = new peerBooks.PeerTable("vm-1");
-  book.hear(state("vm-2", 0, { storeSilentMs: 5_000 }));
-  book.hear(state("vm-3", 0));
-  book.hear(state("vm-4", 0));
-  assert.not.ok(book.isStoreUnreachable(0));
-  book.hear(state("vm-3", 0, { storeSilentMs: 4_000 }));
-  assert.ok(book.isStoreUnreachable(0));
+suite("the service counts as unreachable when most daemons get no answer, not when one does", () => {
+  const table = new peerTables.PeerTable("vm-1");
+  table.record(state("vm-2", 0, { storeSilentMs: 5_000 }));
+  table.record(state("vm-3", 0));
+  table.record(state("vm-4", 0));
+  assert.not.ok(table.isStoreUnreachable(0));
+  table.record(state("vm-3", 0, { storeSilentMs: 4_000 }));
+  assert.ok(table.isStoreUnreachable(0));
 });
 
 suite.run();
--- a/packages/gateway/tests/registration.test.ts
+++ b/packages/gateway/tests/registration.test.ts
@@ -16,10 +16,10 @@
   capacity: 1,
 };
 
-const pass = (milliseconds: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, milliseconds));
+const sleep = (milliseconds: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, milliseconds));
 
-/** A service that loses the answers of its first writes, though it carries them out at a time of its own. */
-class LosingStore implements ports.DurableStore {
+/** A store that loses the answers of its first writes. */
+class LossyStore implements ports.DurableStore {
   readonly leasesWritten: number[] = [];
   lostAnswers: number;
   #leases = 0;
@@ -52,14 +52,14 @@
 
 const suite = uvu.suite("a daemon's entry in the key-value service");
 
-// The answer to the first write of the entry is lost, and the service carries it out seconds later, after the second.
-// Under a lease that the daemon has forgotten, the entry would go with it while the daemon renews another one: the
-// daemon is out of all address answers for the rest of its life, and believes itself registered.
+// The answer to the first write of the entry is lost, and the service executes that write seconds later, after the
+// second. Under a lease that the daemon no longer renews, the entry would expire with that lease: the daemon would be
+// missing from all address answers until its restart, and count itself as registered.
 suite("is written under one lease, however many answers are lost", async () => {
-  const store = new LosingStore(2);
+  const store = new LossyStore(2);
   const registration = new registrations.Registration(store, "daemons/vm-1", ENTRY, log);
   void registration.run();
-  for (let waited = 0; waited < 3_000 && !registration.registered; waited += 20) await pass(20);
+  for (let waited = 0; waited < 3_000 && !registration.registered; waited += 20) await sleep(20);
   assert.is(registration.registered, true);
   assert.equal(store.leasesWritten, [1, 1, 1]);
   await registration.end();
