--- a/packages/gateway/src/peerTable.ts
+++ b/packages/gateway/src/peerTable.ts
@@ -154,15 +154,15 @@
   }
 
   /**
-   * Selects the daemons that this one has to send news to. Each is served by one of the daemons that have the
-   * configuration and reach the key-value service, in an order given by rendezvous hashing, so that a change isn't sent
-   * once per daemon of the fleet. A receiver that is still behind after the expected time is served by the next in the
-   * order too: the first one may be dead without this being noticed yet, or may not receive its heartbeats, and all
-   * others would rely on it.
+   * Selects the daemons that this one has to send news to. The daemons that have the configuration and reach the
+   * key-value service divide the receivers among themselves, in an order per receiver given by rendezvous hashing, so
+   * that a change isn't sent as many times as there are daemons. If a receiver is still behind after the expected time,
+   * the next daemon in its order sends too: the first one may be dead without this being noticed yet, or may not
+   * receive its heartbeats, and all others would rely on it.
    *
    * @param sender - what this daemon knows
    * @param now - current time in milliseconds
-   * @returns the daemons to send news to; they are recorded as served
+   * @returns the daemons to send news to; the time of sending is recorded
    */
   selectReceivers(sender: SenderState, now: number): PeerState[] {
     const live = this.live(now);
@@ -191,14 +191,14 @@
 
   /**
    * Number of daemons that come before this one in the order for a receiver. Close followers come first, as they learn
-   * of a change first. Only dispatching daemons and, for a standby receiver, the standby contacts of its data centre
-   * receive its heartbeats and count. If all daemons that have the change shared the receivers, each receiver would be
-   * reassigned to daemons that were just served, and wait for their next check every time. Close followers read a
-   * change at the same moment and count before their heartbeats show that they have it; otherwise each of them would
-   * send it to the whole fleet.
+   * of a change first. Only daemons that receive the receiver's heartbeats count: dispatching daemons and, if the
+   * receiver is on standby, the standby contacts of its data centre. If all daemons that have the change divided the
+   * receivers among themselves, receivers would be reassigned to daemons that have just got it, and wait for their next
+   * check every time. Close followers read a change at the same moment and count before their heartbeats show that they
+   * have it; otherwise each of them would send it to the whole fleet.
    */
   #sendersBefore(receiver: PeerState, live: readonly PeerState[], sender: SenderState): number {
-    // If the key-value service answers no daemon, all daemons that have the configuration share the receivers.
+    // If the key-value service answers no daemon, all daemons that have the configuration divide the receivers.
     const candidates = live
       .filter(
         (state) =>
--- a/packages/gateway/tests/peerTable.test.ts
+++ b/packages/gateway/tests/peerTable.test.ts
@@ -89,7 +89,7 @@
 });
 
 // A daemon that rarely reads relies on its peers, which check once a second in a large fleet. If it were only noted at
-// the first check and served at the second, callers would get 404 on an added route for longer than the limit of two
+// the first check and sent news at the second, callers would get 404 on an added route for longer than the limit of two
 // seconds.
 suite("a daemon that rarely reads is sent news at the first check", () => {
   const sent = sentUpdates({ configurationRevision: 4, followsClosely: false }, { checkEveryMs: 1_000 });
@@ -118,8 +118,8 @@
   );
 });
 
-// A configuration spreads in a large fleet. If daemons that were just served took part in the choice of senders, the
-// remaining receivers would be reassigned from one sender to the next, each time until its next check: over three
+// A configuration spreads in a large fleet. If daemons that have just received it took part in the choice of senders,
+// the remaining receivers would be reassigned from one sender to the next, each time until its next check: over three
 // seconds for all of them.
 suite("a daemon that was sent news itself leaves sending to the close followers", () => {
   const behind = { configurationRevision: 4, followsClosely: false };
@@ -139,7 +139,7 @@
 // that another one had it. Each of the eight sent it to all 71 other daemons and to the other close followers, with the
 // whole list of endpoints. Every daemon read the same document up to eight times, and the senders' links (10 Mbit/s)
 // and processors (a third of a core) were busy for seconds while requests waited: sixteen reached an engine 0.9 s after
-// their deadline (rule GONE on five of seven days). So they share the receivers from the start.
+// their deadline (rule GONE on five of seven days). So they divide the receivers from the start.
 suite("a configuration that several daemons read at once is sent to each daemon once", () => {
   const closeFollowers = Array.from({ length: 8 }, (_, index) => `vm-close-${index}`);
   const rareReaders = Array.from({ length: 71 }, (_, index) => `vm-${index}`);
