--- a/packages/gateway/tests/helpers/simulatedFleet.ts
+++ b/packages/gateway/tests/helpers/simulatedFleet.ts
@@ -40,7 +40,7 @@
   /** @returns the receivers of heartbeats now, and the time until the next one to each, in milliseconds */
   selectHeartbeats(now: number, others: readonly daemonEntries.DaemonEntry[]): [to: string, nextWithinMs: number][] {
     const hasChanged = this.activeSet.update(now);
-    const reportedActive = new Set(this.peerTable.live(now).flatMap(({ activeVms: names }) => names));
+    const reportedActive = new Set(this.peerTable.live(now).flatMap(({ activeVms }) => activeVms));
     const knownDaemons = others.map((entry) => {
       const heard = this.peerTable.liveState(entry.vm, now);
       return {
@@ -67,7 +67,7 @@
   /** @returns the state it reports */
   state(now: number, nextWithinMs: number): peerTables.PeerState {
     const { vm, dataCentre, capacity } = this.entry;
-    const { active, activeVms: names } = this.activeSet;
+    const { active, activeVms } = this.activeSet;
     return {
       vm,
       incarnation: vm,
@@ -75,7 +75,7 @@
       ready: this.ready,
       active,
       dispatching: active,
-      activeVms: names,
+      activeVms,
       capacity,
       busyCores: this.busyCores,
       nextWithinMs,
