--- a/scripts/bundle.mjs
+++ b/scripts/bundle.mjs
@@ -1,4 +1,4 @@
-// Bundles the platform's daemon into one file, so that a start reads and compiles only what serving needs.
+// Bundles the platform's daemon into one file, so that a start only reads and compiles the code that serving needs.
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs";
 import { fileURLToPath } from "node:url";
@@ -7,10 +7,10 @@
 childProcess.execFileSync(process.execPath, ["node_modules/typescript/bin/tsc", "-b", "platform"], {
   stdio: "inherit",
 });
-const OUTPUT = "target/gateway.mjs";
-const unfinished = `${OUTPUT}.${process.pid}`;
+const BUNDLE_PATH = "target/gateway.mjs";
+const temporaryFile = `${BUNDLE_PATH}.${process.pid}`;
 await esbuild.build({
-  // The alias itself must reach the package.
+  // The alias files import parts of these packages, which must resolve to the packages and not to the aliases again.
   plugins: [
     {
       name: "package-parts",
@@ -22,7 +22,7 @@
     },
   ],
   entryPoints: ["platform/dist/src/main.js"],
-  outfile: unfinished,
+  outfile: temporaryFile,
   bundle: true,
   platform: "node",
   format: "esm",
@@ -33,5 +33,5 @@
   external: ["dtrace-provider", "source-map-support", "mv", "safe-json-stringify", "moment"],
   banner: { js: 'import { createRequire } from "node:module"; const require = createRequire(import.meta.url);' },
 });
-// Put in place at once: a daemon that starts meanwhile must not read half of it.
-fs.renameSync(unfinished, OUTPUT);
+// Replaced atomically: a daemon that starts during the build must not read an incomplete file.
+fs.renameSync(temporaryFile, BUNDLE_PATH);
--- a/scripts/checkBoundary.mjs
+++ b/scripts/checkBoundary.mjs
@@ -1,7 +1,8 @@
-// Fails if a name of the users' platform stands outside the adapter: such names are decoded once, in platform/.
+// Fails if packages/serving or packages/gateway contain a name of the users' platform: only the adapter in platform/
+// decodes such names.
 import * as childProcess from "node:child_process";
 
-const NAMES = [
+const NAME_PATTERN = [
   "x-(request-id|deadline-ms|token-counts|prompt-prefix|response-seal|kv-|serving-stage|pin-ms|expect-)",
   "x-(instance-id|not-executed|weight-versions|length-hint)",
   "kv-(key|range|watch|txn|lease|keep|handle|move|events|list|pin|fetch|used|total)",
@@ -11,8 +12,8 @@
 ].join("|");
 const FOLDERS = ["packages/serving", "packages/gateway"];
 
-const found = childProcess.spawnSync("git", ["grep", "-nIiE", NAMES, "--", ...FOLDERS], { encoding: "utf8" });
-if (found.stdout !== "") {
-  console.error(`names of the platform outside platform/; decode them there:\n${found.stdout}`);
+const matches = childProcess.spawnSync("git", ["grep", "-nIiE", NAME_PATTERN, "--", ...FOLDERS], { encoding: "utf8" });
+if (matches.stdout !== "") {
+  console.error(`found names of the platform outside platform/; decode them there:\n${matches.stdout}`);
   process.exitCode = 1;
 }
--- a/scripts/demo.mjs
+++ b/scripts/demo.mjs
@@ -1,5 +1,5 @@
-// Shows the whole path: several daemons serve callers over real sockets while
-// one of them is stopped as planned and another is killed.
+// End-to-end demo: several daemons serve callers over real sockets while one of
+// them is shut down gracefully and another is killed.
 import * as fs from "node:fs/promises";
 import * as os from "node:os";
 import * as path from "node:path";
@@ -7,7 +7,7 @@
 
 const REQUESTS = 400;
 const INTERVAL_MS = 25;
-const PLANNED_STOP_AT = 120;
+const SHUTDOWN_AT = 120;
 const KILL_AT = 240;
 const ADDRESS_TTL_MS = 2000;
 
@@ -19,14 +19,14 @@
   await applyConfiguration();
   await fleet.meshed();
   const caller = new Caller(fleet.daemons);
-  const pending = [];
+  const calls = [];
   for (let index = 0; index < REQUESTS; index++) {
-    if (index === PLANNED_STOP_AT) fleet.daemons[0].child.kill("SIGTERM");
+    if (index === SHUTDOWN_AT) fleet.daemons[0].child.kill("SIGTERM");
     if (index === KILL_AT) fleet.daemons[1].child.kill("SIGKILL");
-    pending.push(caller.send(index));
+    calls.push(caller.send(index));
     await new Promise((resolve) => setTimeout(resolve, INTERVAL_MS));
   }
-  await Promise.all(pending);
+  await Promise.all(calls);
   return report();
 }
 
@@ -42,14 +42,14 @@
   const applied = await fleet.launcher.tool(["config", "apply", "--wait", file], environment);
   process.stdout.write(applied.output);
   await fs.rm(folder, { recursive: true });
-  if (applied.code !== 0) throw new Error("the configuration was not accepted");
+  if (applied.code !== 0) throw new Error("the configuration was rejected");
 }
 
-/** A caller that asks which VM to use and keeps the answer for a while. */
+/** A caller that asks the daemons which VMs to use and caches the addresses. */
 class Caller {
   #daemons;
   #addresses = [];
-  #askedAt = 0;
+  #refreshedAt = 0;
 
   constructor(daemons) {
     this.#daemons = daemons;
@@ -61,25 +61,25 @@
     results.push(result);
     while (result.tries < 4 && !result.complete) {
       result.tries++;
-      await this.#try(result);
+      await this.#attempt(result);
       if (!result.complete) await new Promise((resolve) => setTimeout(resolve, 300));
     }
   }
 
-  async #try(result) {
-    const address = await this.#address(result.index + result.tries);
+  async #attempt(result) {
+    const address = await this.#chooseAddress(result.index + result.tries);
     result.daemon = address.vm;
     try {
-      if (result.kind === "label") await this.#label(address.url, result);
-      else await this.#model(address.url, result);
+      if (result.kind === "label") await this.#requestLabel(address.url, result);
+      else await this.#requestCompletion(address.url, result);
     } catch {
       result.outcome = "connection lost";
       result.lostFrom = address.vm;
-      this.#askedAt = 0;
+      this.#refreshedAt = 0;
     }
   }
 
-  async #label(url, result) {
+  async #requestLabel(url, result) {
     const reply = await fetch(`${url}/v1/services/yard-app/labels`, {
       method: "POST",
       headers: { ...headers(), "idempotency-key": `label-${result.index}` },
@@ -90,7 +90,7 @@
     result.complete = reply.ok && JSON.parse(body.echo).bale === result.index;
   }
 
-  async #model(url, result) {
+  async #requestCompletion(url, result) {
     const stream = result.kind === "stream";
     const reply = await fetch(`${url}/v1/chat/completions`, {
       method: "POST",
@@ -108,19 +108,19 @@
       reply.ok && (stream ? text.endsWith("data: [DONE]\n\n") : text.includes('"completion_tokens":40'));
   }
 
-  async #address(turn) {
-    if (Date.now() - this.#askedAt > ADDRESS_TTL_MS) await this.#ask();
-    return this.#addresses[turn % this.#addresses.length];
+  async #chooseAddress(attempt) {
+    if (Date.now() - this.#refreshedAt > ADDRESS_TTL_MS) await this.#refreshAddresses();
+    return this.#addresses[attempt % this.#addresses.length];
   }
 
-  async #ask() {
+  async #refreshAddresses() {
     for (const daemon of this.#daemons) {
       const reply = await fetch(`${daemon.url}/v1/addresses?service=assist-llm`)
         .then((answer) => answer.json())
         .catch(() => undefined);
       if (!reply || reply.addresses.length === 0) continue;
       this.#addresses = reply.addresses;
-      this.#askedAt = Date.now();
+      this.#refreshedAt = Date.now();
       return;
     }
   }
@@ -131,24 +131,24 @@
 }
 
 async function report() {
-  const executions = new Map();
+  const executionCounts = new Map();
   for (const service of fleet.services) {
     for (const entry of await fleet.journal(service.url)) {
-      executions.set(entry.key, (executions.get(entry.key) ?? 0) + 1);
+      executionCounts.set(entry.key, (executionCounts.get(entry.key) ?? 0) + 1);
     }
   }
-  const duplicated = [...executions.values()].filter((count) => count > 1).length;
+  const duplicated = [...executionCounts.values()].filter((count) => count > 1).length;
   const answered = results.filter((result) => result.outcome === "answered").length;
   const complete = results.filter((result) => result.complete).length;
   const cut = results.filter((result) => result.lostFrom === fleet.daemons[0].vm).length;
   const rows = ["label", "document", "stream"].map((kind) => {
-    const of = results.filter((result) => result.kind === kind);
-    const done = of.filter((result) => result.complete);
+    const ofKind = results.filter((result) => result.kind === kind);
+    const done = ofKind.filter((result) => result.complete);
     return {
       kind,
-      requests: of.length,
+      requests: ofKind.length,
       complete: done.length,
-      "more than one try": of.filter((result) => result.tries > 1).length,
+      "more than one try": ofKind.filter((result) => result.tries > 1).length,
     };
   });
   console.table(rows);
--- a/scripts/generateDocs.mjs
+++ b/scripts/generateDocs.mjs
@@ -1,4 +1,4 @@
-// Writes the operators' tables of settings and errors from the code that checks and tells them.
+// Generates the operators' tables of settings and errors from the code that defines them.
 import * as fs from "node:fs";
 import * as common from "../packages/common/dist/src/index.js";
 import * as daemon from "../packages/daemon/dist/src/index.js";
--- a/scripts/histogramBuilder.cjs
+++ b/scripts/histogramBuilder.cjs
@@ -1,4 +1,5 @@
-// The histogram alone: the package's log writer and its compiled variant cost 17 ms of each start and are not used.
+// Exports the histogram only: loading the package's log writer and its WebAssembly variant would add 17 ms to each start,
+// and neither is used.
 const { default: Histogram } = require("hdr-histogram-js/dist/Int32Histogram.js");
 module.exports = {
   build: ({ highestTrackableValue, numberOfSignificantValueDigits }) =>
--- a/scripts/mutations.mjs
+++ b/scripts/mutations.mjs
@@ -1,13 +1,13 @@
-// Takes one safeguard after the other out of the built code and shows that its
-// proof then fails. A mutation that its test survives is reported and fails the run.
+// Mutation testing: breaks one safeguard of the built code at a time and checks that
+// its test fails. A mutation that survives its test or does not apply fails the run.
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs";
 
 const mutations = JSON.parse(fs.readFileSync(new URL("mutations.json", import.meta.url), "utf8"));
-const only = process.argv[2];
+const nameFilter = process.argv[2];
 let survived = 0;
 for (const { name, file, find, replace, test } of mutations) {
-  if (only && !name.includes(only)) continue;
+  if (nameFilter && !name.includes(nameFilter)) continue;
   const original = fs.readFileSync(file, "utf8");
   const mutated = original.replace(find, () => replace);
   if (mutated === original) {
--- a/scripts/runTests.mjs
+++ b/scripts/runTests.mjs
@@ -1,5 +1,5 @@
-// Runs every compiled test file, each in a process of its own, and closes with
-// one line of counts. Tests listed in KNOWN-RED.txt are printed and passed over.
+// Runs every compiled test file in a process of its own and prints a summary line
+// at the end. Failures of files listed in KNOWN-RED.txt are printed but not counted.
 import * as childProcess from "node:child_process";
 import * as fs from "node:fs";
 import * as path from "node:path";
@@ -14,7 +14,7 @@
     const sources = path.join(workspace, "tests");
     if (!fs.existsSync(folder)) return [];
     const built = fs.readdirSync(folder).filter((file) => file.endsWith(".test.js"));
-    // A test whose source is gone may still lie in dist/.
+    // dist/ may still contain compiled tests whose source file has been deleted.
     return built
       .filter((file) => fs.existsSync(path.join(sources, file.replace(/\.js$/, ".ts"))))
       .map((file) => path.join(folder, file));
@@ -30,22 +30,22 @@
 
 function run(file) {
   return new Promise((resolve) => {
-    // A process group of its own: a test that hangs is ended with all that it started.
+    // A separate process group, so that a hanging test is killed with all processes that it started.
     const child = childProcess.spawn(process.execPath, [file], { detached: true });
-    const endGroup = () => {
+    const killGroup = () => {
       try {
         process.kill(-child.pid, "SIGKILL");
       } catch {
-        // Nothing of the group is left.
+        // All processes of the group have exited.
       }
     };
-    const timer = setTimeout(endGroup, TIMEOUT_MS);
+    const timer = setTimeout(killGroup, TIMEOUT_MS);
     let output = "";
     child.stdout.on("data", (chunk) => (output += chunk));
     child.stderr.on("data", (chunk) => (output += chunk));
     child.once("exit", (code) => {
       clearTimeout(timer);
-      endGroup();
+      killGroup();
       resolve({ file, code, output });
     });
   });
@@ -54,7 +54,7 @@
 function countsOf(result) {
   const total = Number(/Total:\s+(\d+)/.exec(result.output)?.[1] ?? 0);
   const passed = Number(/Passed:\s+(\d+)/.exec(result.output)?.[1] ?? 0);
-  // A file that ended without counts has failed as a whole.
+  // A file that exits without printing counts counts as one failure.
   const failed = total === 0 || (result.code !== 0 && total === passed) ? 1 : total - passed;
   return { passed, failed };
 }
@@ -73,7 +73,7 @@
         console.log(`ok   ${file} (${counts.passed})`);
         continue;
       }
-      // The whole path: two folders may have a test of one name, and only one of them is known to be red.
+      // Compares the whole path: test files of two packages may share a name while only one of them is listed.
       const known = knownRed.find((line) => line.startsWith(file));
       console.log(`${known ? "KNOWN RED" : "FAIL"} ${file}\n${result.output}`);
       if (!known) failed += counts.failed;
--- a/scripts/undiciClient.cjs
+++ b/scripts/undiciClient.cjs
@@ -1,8 +1,8 @@
-// What the daemon uses of the HTTP client: loading the rest (fetch, web sockets, caches) at each start costs
-// processor time and memory for nothing.
+// Exports the parts of the HTTP client that the daemon uses: loading the rest (fetch, WebSocket, caches) would waste
+// processor time and memory at each start.
 const Dispatcher = require("undici/lib/dispatcher/dispatcher.js");
 
-// The package's own entry adds request() and its kin to every dispatcher.
+// As the package's own entry point does: adds request() and related methods to every dispatcher.
 Object.assign(Dispatcher.prototype, require("undici/lib/api/index.js"));
 
 module.exports = {
