--- a/packages/common/src/clock.ts
+++ b/packages/common/src/clock.ts
@@ -5,7 +5,7 @@
   /** @returns milliseconds of a clock that never goes back and counts only differences */
   now(): number;
   /** @returns milliseconds since 1970 by the VM's calendar clock, which may jump */
-  wall(): number;
+  systemTime(): number;
 }
 
 /** The clocks of the operating system. */
@@ -16,7 +16,7 @@
   }
 
   /** {@inheritDoc Clock.wall} */
-  wall(): number {
+  systemTime(): number {
     return Date.now();
   }
 }
@@ -37,7 +37,7 @@
   }
 
   /** {@inheritDoc Clock.wall} */
-  wall(): number {
+  systemTime(): number {
     return this.#wallStart + this.#now;
   }
 
--- a/packages/daemon/src/configurationWriter.ts
+++ b/packages/daemon/src/configurationWriter.ts
@@ -63,7 +63,7 @@
       version: version + 1,
       author: change.author,
       attempt: crypto.randomUUID(),
-      acceptedAt: this.#daemon.clock.wall(),
+      acceptedAt: this.#daemon.clock.systemTime(),
     };
     const accepted = await this.#write(change, record, revision);
     if (accepted.isOk()) this.#push(change.team, record, accepted.value.revision);
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -75,7 +75,7 @@
     const seed = settings.seed === 0 ? crypto.randomInt(2 ** 31) : settings.seed;
     this.#random = new common.SeededRandom(seed);
     this.log = logger.createLogger(settings.vm, settings.logLevel, write);
-    this.#hybrid = new common.HybridClock(() => this.clock.wall());
+    this.#hybrid = new common.HybridClock(() => this.clock.systemTime());
     this.timeline = new core.Timeline(settings.vm, core.constants.TIMELINE_LIMIT);
     this.core = new core.Core({
       registration: registrationOf(settings, ports),
@@ -129,7 +129,7 @@
    */
   handle(event: core.CoreEvent): void {
     const before = this.clock.now();
-    const actions = this.core.handle(event, { now: before, wall: this.clock.wall() });
+    const actions = this.core.handle(event, { now: before, wall: this.clock.systemTime() });
     this.metrics.record(metrics.Duration.Handle, (this.clock.now() - before) * 1000);
     for (const action of actions) this.#carryOut(action);
     this.#wakeForClaims();
@@ -226,7 +226,7 @@
   async close(): Promise<void> {
     for (const timer of this.#timers) clearInterval(timer);
     clearTimeout(this.#claimTimer);
-    const farewell = this.core.markStopped({ now: this.clock.now(), wall: this.clock.wall() });
+    const farewell = this.core.markStopped({ now: this.clock.now(), wall: this.clock.systemTime() });
     for (const action of farewell) {
       if (action.type === core.ActionType.Transact) await this.keyValue.write(action.transaction, this.core.leaseId);
     }
