--- a/packages/cli/src/viewCommands.ts
+++ b/packages/cli/src/viewCommands.ts
@@ -7,7 +7,7 @@
 
 interface TimelineReply {
   readonly events: {
-    readonly stamp: common.HybridStamp;
+    readonly stamp: common.HybridTimestamp;
     readonly vm: string;
     readonly kind: string;
     readonly sequence: number;
--- a/packages/common/src/hybridClock.ts
+++ b/packages/common/src/hybridClock.ts
@@ -1,5 +1,5 @@
 /** A stamp of a hybrid logical clock; ordered by wall time, then counter. */
-export interface HybridStamp {
+export interface HybridTimestamp {
   readonly wallMs: number;
   readonly counter: number;
 }
@@ -12,7 +12,7 @@
  */
 export class HybridClock {
   readonly #wall: () => number;
-  #last: HybridStamp = { wallMs: 0, counter: 0 };
+  #last: HybridTimestamp = { wallMs: 0, counter: 0 };
 
   /** @param wall - reads the calendar clock, in milliseconds */
   constructor(wall: () => number) {
@@ -20,7 +20,7 @@
   }
 
   /** @returns a stamp for a local event or an outgoing message */
-  tick(): HybridStamp {
+  tick(): HybridTimestamp {
     const wallMs = Math.floor(this.#wall());
     this.#last =
       wallMs > this.#last.wallMs
@@ -30,7 +30,7 @@
   }
 
   /** @param remote - the stamp of a message that has come in */
-  observe(remote: HybridStamp): void {
+  observe(remote: HybridTimestamp): void {
     if (compareStamps(remote, this.#last) > 0) this.#last = remote;
   }
 }
@@ -40,6 +40,6 @@
  * @param right - another
  * @returns negative, zero or positive as left is before, equal to or after right
  */
-export function compareStamps(left: HybridStamp, right: HybridStamp): number {
+export function compareStamps(left: HybridTimestamp, right: HybridTimestamp): number {
   return left.wallMs - right.wallMs || left.counter - right.counter;
 }
--- a/packages/core/src/timeline.ts
+++ b/packages/core/src/timeline.ts
@@ -34,7 +34,7 @@
 /** An event on the time line of one process. */
 export interface TimelineEvent extends TimelineNote {
   readonly sequence: number;
-  readonly stamp: common.HybridStamp;
+  readonly stamp: common.HybridTimestamp;
   readonly vm: string;
 }
 
@@ -66,7 +66,7 @@
    * @param stamp - when
    * @returns the event as it was kept
    */
-  add(note: TimelineNote, stamp: common.HybridStamp): TimelineEvent {
+  add(note: TimelineNote, stamp: common.HybridTimestamp): TimelineEvent {
     const event = { ...note, stamp, vm: this.#vm, sequence: ++this.#sequence };
     this.#events.push(event);
     if (this.#events.length >= this.#limit * 2) this.#events = this.#events.slice(-this.#limit);
--- a/packages/daemon/src/peerMessages.ts
+++ b/packages/daemon/src/peerMessages.ts
@@ -60,7 +60,7 @@
  * @param stamp - when it was made
  * @returns the message
  */
-export function heartbeatToWire(report: core.PeerReport, stamp: common.HybridStamp): protocol.ExchangeRequest {
+export function heartbeatToWire(report: core.PeerReport, stamp: common.HybridTimestamp): protocol.ExchangeRequest {
   return protobuf.create(protocol.ExchangeRequestSchema, {
     vm: report.vm,
     incarnation: report.incarnation,
@@ -117,7 +117,7 @@
  * @param message - a heartbeat as it came
  * @returns its stamp
  */
-export function stampOf(message: protocol.ExchangeRequest): common.HybridStamp {
+export function stampOf(message: protocol.ExchangeRequest): common.HybridTimestamp {
   return { wallMs: Number(message.wallMs), counter: message.counter };
 }
 
--- a/packages/daemon/src/peerServer.ts
+++ b/packages/daemon/src/peerServer.ts
@@ -88,7 +88,7 @@
 
 /** An event of a peer's time line. */
 export interface RemoteEvent {
-  readonly stamp: common.HybridStamp;
+  readonly stamp: common.HybridTimestamp;
   readonly vm: string;
   readonly kind: string;
   readonly sequence: number;
