--- a/packages/common/src/hybridClock.ts
+++ b/packages/common/src/hybridClock.ts
@@ -31,7 +31,7 @@
 
   /** @param remote - the stamp of a message that has come in */
   observe(remote: HybridTimestamp): void {
-    if (compareStamps(remote, this.#last) > 0) this.#last = remote;
+    if (compareTimestamps(remote, this.#last) > 0) this.#last = remote;
   }
 }
 
@@ -40,6 +40,6 @@
  * @param right - another
  * @returns negative, zero or positive as left is before, equal to or after right
  */
-export function compareStamps(left: HybridTimestamp, right: HybridTimestamp): number {
+export function compareTimestamps(left: HybridTimestamp, right: HybridTimestamp): number {
   return left.wallMs - right.wallMs || left.counter - right.counter;
 }
--- a/packages/daemon/src/adminServer.ts
+++ b/packages/daemon/src/adminServer.ts
@@ -146,7 +146,7 @@
     });
     const peers = await Promise.all(asked);
     const events = [...own, ...peers.flatMap((peer) => peer.events ?? [])];
-    events.sort((left, right) => common.compareStamps(left.stamp, right.stamp) || left.vm.localeCompare(right.vm));
+    events.sort((left, right) => common.compareTimestamps(left.stamp, right.stamp) || left.vm.localeCompare(right.vm));
     const silent = peers.filter((peer) => !peer.events).map((peer) => peer.vm);
     const since = Number(context.req.query("since") ?? "0");
     return context.json({ events: events.filter((event) => event.stamp.wallMs > since), silent });
