--- a/packages/common/src/metrics.ts
+++ b/packages/common/src/metrics.ts
@@ -5,7 +5,7 @@
 /** How exactly durations are kept. */
 export interface HistogramBounds {
   /** Largest value; larger ones count as this one. */
-  readonly largest: number;
+  readonly maxValue: number;
   readonly significantDigits: 1 | 2 | 3 | 4 | 5;
 }
 
@@ -29,7 +29,7 @@
    * @param value - in the unit that its name gives
    */
   record(duration: Duration, value: number): void {
-    this.#histogram(duration).recordValue(Math.min(this.#bounds.largest, Math.max(0, Math.round(value))));
+    this.#histogram(duration).recordValue(Math.min(this.#bounds.maxValue, Math.max(0, Math.round(value))));
   }
 
   /**
@@ -62,7 +62,7 @@
   #histogram(duration: Duration): histograms.Histogram {
     let histogram = this.#histograms.get(duration);
     if (histogram === undefined) {
-      const { largest, significantDigits } = this.#bounds;
+      const { maxValue: largest, significantDigits } = this.#bounds;
       histogram = histograms.build({
         highestTrackableValue: largest,
         numberOfSignificantValueDigits: significantDigits,
