--- a/packages/common/src/metrics.ts
+++ b/packages/common/src/metrics.ts
@@ -3,7 +3,7 @@
 const PERCENTILES = [50, 95, 99];
 
 /** How exactly durations are kept. */
-export interface HistogramBounds {
+export interface HistogramOptions {
   /** Largest value; larger ones count as this one. */
   readonly maxValue: number;
   readonly significantDigits: 1 | 2 | 3 | 4 | 5;
@@ -11,7 +11,7 @@
 
 /** Counters and histograms as Prometheus text; a duration's name tells its unit. */
 export class Metrics<Duration extends string> {
-  readonly #bounds: HistogramBounds;
+  readonly #bounds: HistogramOptions;
   readonly #histograms = new Map<Duration, histograms.Histogram>();
   readonly #counters = new Map<string, number>();
 
@@ -19,7 +19,7 @@
    * @param bounds - how exactly durations are kept
    * @param fromStart - durations that are told before their first record; others come in the order of theirs
    */
-  constructor(bounds: HistogramBounds, fromStart: readonly Duration[] = []) {
+  constructor(bounds: HistogramOptions, fromStart: readonly Duration[] = []) {
     this.#bounds = bounds;
     for (const duration of fromStart) this.#histogram(duration);
   }
--- a/packages/daemon/src/metrics.ts
+++ b/packages/daemon/src/metrics.ts
@@ -9,7 +9,7 @@
 }
 
 /** Largest duration, in the unit that its name gives, and digits. */
-const BOUNDS: metrics.HistogramBounds = { maxValue: 3_600_000, significantDigits: 3 };
+const BOUNDS: metrics.HistogramOptions = { maxValue: 3_600_000, significantDigits: 3 };
 
 /** Counters and histograms of the daemon; every duration is told from the start. */
 export class Metrics extends metrics.Metrics<Duration> {
--- a/packages/gateway/src/metrics.ts
+++ b/packages/gateway/src/metrics.ts
@@ -10,7 +10,7 @@
 }
 
 /** Maximum duration in milliseconds, and precision of the histograms. */
-const BOUNDS: metrics.HistogramBounds = { maxValue: 600_000, significantDigits: 2 };
+const BOUNDS: metrics.HistogramOptions = { maxValue: 600_000, significantDigits: 2 };
 
 /** Counters and histograms of the gateway; a duration is reported once it has been recorded for the first time. */
 export class Metrics extends metrics.Metrics<Duration> {
