--- a/packages/daemon/src/callerServer.ts
+++ b/packages/daemon/src/callerServer.ts
@@ -111,7 +111,7 @@
       abort.abort();
     });
     const assembly = new core.StreamAssembly();
-    const onPiece = (piece: endpoints.StreamPiece): boolean => {
+    const onPiece = (piece: endpoints.StreamChunk): boolean => {
       if (!outgoing.headersSent) outgoing.writeHead(200, { "content-type": "text/event-stream" });
       const step = assembly.onPiece(piece.index - stream.from, piece.content);
       if (step !== core.StreamStep.Forward) return step === core.StreamStep.Skip;
--- a/packages/daemon/src/dispatcher.ts
+++ b/packages/daemon/src/dispatcher.ts
@@ -146,7 +146,7 @@
     else this.#failed(action, reachOf(first));
   }
 
-  #onPiece(action: core.DispatchAction, exchange: callerExchange.CallerExchange, piece: endpoints.StreamPiece): void {
+  #onPiece(action: core.DispatchAction, exchange: callerExchange.CallerExchange, piece: endpoints.StreamChunk): void {
     const now = this.#clock.now();
     const eventId = `${action.endpoint}/${action.attempt}/${piece.index}`;
     const since = exchange.sendPiece(eventId, piece.content, piece.data, now);
@@ -180,16 +180,16 @@
 /** Judges the pieces of one attempt and passes on those that the caller lacks. */
 class StreamReader {
   readonly #assembly: core.StreamAssembly;
-  readonly #forward: (piece: endpoints.StreamPiece) => void;
+  readonly #forward: (piece: endpoints.StreamChunk) => void;
   /** A piece was missing: the stream is to be taken up again on a new connection. */
   wantsResume = false;
 
-  constructor(assembly: core.StreamAssembly, forward: (piece: endpoints.StreamPiece) => void) {
+  constructor(assembly: core.StreamAssembly, forward: (piece: endpoints.StreamChunk) => void) {
     this.#assembly = assembly;
     this.#forward = forward;
   }
 
-  readonly read = (piece: endpoints.StreamPiece): boolean => {
+  readonly read = (piece: endpoints.StreamChunk): boolean => {
     const step = this.#assembly.onPiece(piece.index, piece.content);
     if (step === core.StreamStep.Forward) this.#forward(piece);
     this.wantsResume = step === core.StreamStep.Resume;
--- a/packages/endpoints/src/engineClient.ts
+++ b/packages/endpoints/src/engineClient.ts
@@ -3,7 +3,7 @@
 import * as zod from "zod";
 
 /** One piece of a streamed answer. */
-export interface StreamPiece {
+export interface StreamChunk {
   readonly index: number;
   readonly content: string;
   /** The event's data as the engine sent it. */
@@ -36,7 +36,7 @@
 }
 
 /** What reads a stream: returns false to stop. */
-export type PieceReader = (piece: StreamPiece) => boolean;
+export type PieceReader = (piece: StreamChunk) => boolean;
 
 const HEAD_TIMEOUT_MS = 3000;
 /** Engines send a comment line at least every half second, so this long a silence means a dead connection. */
