--- a/packages/daemon/src/dispatcher.ts
+++ b/packages/daemon/src/dispatcher.ts
@@ -136,7 +136,7 @@
     const engine = this.engine(action.url);
     const first = await engine.stream(engineRequest(action, exchange), reader.read, signal);
     let end = first;
-    while (end === endpoints.StreamEnd.Broken || end === endpoints.StreamEnd.Crossed || reader.wantsResume) {
+    while (end === endpoints.StreamEnd.Broken || end === endpoints.StreamEnd.RequestIdMismatch || reader.wantsResume) {
       if (signal.aborted || (!reader.wantsResume && assembly.onBroken() !== core.StreamStep.Resume)) break;
       reader.wantsResume = false;
       end = await engine.resume(action.attempt, assembly.nextIndex, reader.read, signal);
--- a/packages/endpoints/src/engineClient.ts
+++ b/packages/endpoints/src/engineClient.ts
@@ -20,7 +20,7 @@
   /** Closed or silent before the end marker. */
   Broken = "broken",
   /** The reply carries another request's id. */
-  Crossed = "crossed",
+  RequestIdMismatch = "crossed",
   /** The engine knows no such stream. */
   Unknown = "unknown",
   /** The reader asked to stop. */
@@ -118,7 +118,7 @@
     });
     if (reply.isErr()) return endOf(reply.error);
     if (isRefusal(reply.value.status, reply.value.headers)) return StreamEnd.Refused;
-    if (reply.value.headers["x-request-id"] !== request.attempt) return StreamEnd.Crossed;
+    if (reply.value.headers["x-request-id"] !== request.attempt) return StreamEnd.RequestIdMismatch;
     return reply.value.status === 200 ? StreamEnd.Marker : StreamEnd.Broken;
   }
 
@@ -160,7 +160,7 @@
     // The nonce of the attempt: an answer on a reused connection may be another request's.
     if (headers["x-request-id"] !== attempt) {
       body.on("error", () => undefined).destroy();
-      return StreamEnd.Crossed;
+      return StreamEnd.RequestIdMismatch;
     }
     try {
       return await readEvents(body, onPiece);
