--- a/packages/fleet-state/src/origin.ts
+++ b/packages/fleet-state/src/origin.ts
@@ -2,7 +2,7 @@
 import * as undici from "undici";
 
 /** How far a call that failed can have got. */
-export enum FailureReach {
+export enum DeliveryStatus {
   /** No byte of it left this process. */
   NeverSent = "never-sent",
   MayHaveArrived = "may-have-arrived",
@@ -10,7 +10,7 @@
 
 /** Why there is no whole reply. */
 export interface TransportFailure {
-  readonly reach: FailureReach;
+  readonly reach: DeliveryStatus;
   /** Whether the connection fell silent instead of failing. */
   readonly silent: boolean;
   readonly detail: string;
@@ -116,7 +116,7 @@
     const code = codeOf(error);
     const silent = SILENCE_CODES.has(code);
     if (silent) this.reset();
-    const reach = NEVER_SENT_CODES.has(code) ? FailureReach.NeverSent : FailureReach.MayHaveArrived;
+    const reach = NEVER_SENT_CODES.has(code) ? DeliveryStatus.NeverSent : DeliveryStatus.MayHaveArrived;
     return { reach, silent, detail: `${code} ${error instanceof Error ? error.message : ""}`.trim() };
   }
 
