--- a/packages/daemon/src/dispatcher.ts
+++ b/packages/daemon/src/dispatcher.ts
@@ -85,7 +85,7 @@
       signal,
     );
     if (reply.isErr()) {
-      const neverSent = reply.error.reach === platform.DeliveryStatus.NeverSent;
+      const neverSent = reply.error.delivery === platform.DeliveryStatus.NeverSent;
       this.#failed(action, neverSent ? core.Reach.NeverSent : core.Reach.MayHaveRun);
       return;
     }
--- a/packages/daemon/src/keyValueShell.ts
+++ b/packages/daemon/src/keyValueShell.ts
@@ -89,7 +89,7 @@
       deletes: transaction.deletes ?? [],
     });
     if (reply.isErr()) {
-      const notSent = reply.error.reach === platform.DeliveryStatus.NeverSent;
+      const notSent = reply.error.delivery === platform.DeliveryStatus.NeverSent;
       return { outcome: notSent ? core.TransactionOutcome.NotSent : core.TransactionOutcome.Unknown, revision: 0 };
     }
     const outcome = reply.value.succeeded ? core.TransactionOutcome.Applied : core.TransactionOutcome.Refused;
--- a/packages/endpoints/src/engineClient.ts
+++ b/packages/endpoints/src/engineClient.ts
@@ -203,5 +203,5 @@
 }
 
 function endOf(failure: platform.TransportFailure): StreamEnd {
-  return failure.reach === platform.DeliveryStatus.NeverSent ? StreamEnd.NeverSent : StreamEnd.Broken;
+  return failure.delivery === platform.DeliveryStatus.NeverSent ? StreamEnd.NeverSent : StreamEnd.Broken;
 }
--- a/packages/fleet-state/src/keyValueClient.ts
+++ b/packages/fleet-state/src/keyValueClient.ts
@@ -82,7 +82,7 @@
     const body = { key: encode(key), ...(rangeEnd === undefined ? {} : { range_end: encode(rangeEnd) }) };
     const first = await this.#post("/v3/kv/range", body, rangeSchema);
     // A reading can be repeated: silence, or an end, may have been that of one old connection only.
-    const again = first.isErr() && first.error.reach === origin.DeliveryStatus.MayHaveArrived;
+    const again = first.isErr() && first.error.delivery === origin.DeliveryStatus.MayHaveArrived;
     const reply = again ? await this.#post("/v3/kv/range", body, rangeSchema) : first;
     return reply.map((value) => ({
       entries: (value.kvs ?? []).map((wire) => toEntry(wire, false)),
@@ -174,7 +174,7 @@
       await readLines(opened.value.body, (line) => {
         onReply(toWatchReply(line));
       });
-      return { reach: origin.DeliveryStatus.MayHaveArrived, silent: false, detail: "the service ended the watch" };
+      return { delivery: origin.DeliveryStatus.MayHaveArrived, silent: false, detail: "the service ended the watch" };
     } catch (error) {
       return this.#origin.fail(error);
     }
@@ -200,7 +200,7 @@
     const parsed = status === 200 ? schema.safeParse(parseJson(reply.value.body.toString("utf8"))) : undefined;
     if (parsed?.success) return neverthrow.ok(parsed.data);
     const detail = `${path} answered ${status} with something else than expected`;
-    return neverthrow.err({ reach: origin.DeliveryStatus.MayHaveArrived, silent: false, detail });
+    return neverthrow.err({ delivery: origin.DeliveryStatus.MayHaveArrived, silent: false, detail });
   }
 }
 
--- a/packages/fleet-state/src/origin.ts
+++ b/packages/fleet-state/src/origin.ts
@@ -10,7 +10,7 @@
 
 /** Why there is no whole reply. */
 export interface TransportFailure {
-  readonly reach: DeliveryStatus;
+  readonly delivery: DeliveryStatus;
   /** Whether the connection fell silent instead of failing. */
   readonly silent: boolean;
   readonly detail: string;
@@ -117,7 +117,7 @@
     const silent = SILENCE_CODES.has(code);
     if (silent) this.reset();
     const reach = NEVER_SENT_CODES.has(code) ? DeliveryStatus.NeverSent : DeliveryStatus.MayHaveArrived;
-    return { reach, silent, detail: `${code} ${error instanceof Error ? error.message : ""}`.trim() };
+    return { delivery: reach, silent, detail: `${code} ${error instanceof Error ? error.message : ""}`.trim() };
   }
 
   /** Gives up all connections; calls under way on them go on until they end or time out. */
--- a/packages/fleet-state/src/vmListClient.ts
+++ b/packages/fleet-state/src/vmListClient.ts
@@ -28,7 +28,7 @@
     const text = reply.value.body.toString("utf8");
     const parsed = neverthrow.fromThrowable(
       () => listSchema.parse(JSON.parse(text)),
-      () => ({ reach: origin.DeliveryStatus.MayHaveArrived, silent: false, detail: "the VM list is not as expected" }),
+      () => ({ delivery: origin.DeliveryStatus.MayHaveArrived, silent: false, detail: "the VM list is not as expected" }),
     );
     return parsed();
   }
