--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -314,11 +314,11 @@
     const { endpoint, url, shard, epoch, number, role } = action;
     const mayStillSend = (): boolean => this.core.mayOrder(shard, epoch, this.clock.now());
     const reply = await this.#orders.send({ url, number, epoch, role }, mayStillSend);
-    const outcomes: Record<endpoints.OrderReply, core.OrderOutcome> = {
-      [endpoints.OrderReply.Confirmed]: core.OrderOutcome.Confirmed,
-      [endpoints.OrderReply.Stale]: core.OrderOutcome.Stale,
-      [endpoints.OrderReply.NotSent]: core.OrderOutcome.NotSent,
-      [endpoints.OrderReply.Unknown]: core.OrderOutcome.Unknown,
+    const outcomes: Record<endpoints.OrderResult, core.OrderOutcome> = {
+      [endpoints.OrderResult.Confirmed]: core.OrderOutcome.Confirmed,
+      [endpoints.OrderResult.Stale]: core.OrderOutcome.Stale,
+      [endpoints.OrderResult.NotSent]: core.OrderOutcome.NotSent,
+      [endpoints.OrderResult.Unknown]: core.OrderOutcome.Unknown,
     };
     this.handle({ type: core.EventType.OrderAnswered, endpoint, number, outcome: outcomes[reply] });
   }
--- a/packages/endpoints/src/orderConnection.ts
+++ b/packages/endpoints/src/orderConnection.ts
@@ -9,7 +9,7 @@
 }
 
 /** How an order ended. */
-export enum OrderReply {
+export enum OrderResult {
   Confirmed = "confirmed",
   Stale = "stale",
   NotSent = "not-sent",
@@ -36,7 +36,7 @@
    * @param mayStillSend - asked in the step that writes
    * @returns how it ended
    */
-  send(order: EngineOrder, mayStillSend: () => boolean): Promise<OrderReply> {
+  send(order: EngineOrder, mayStillSend: () => boolean): Promise<OrderResult> {
     return new Promise((resolve) => {
       const body = JSON.stringify({ role: order.role });
       const request = http.request(`${order.url}/v1/orders`, {
@@ -51,14 +51,14 @@
         },
       });
       let sent = false;
-      const settle = (reply: OrderReply): void => {
+      const settle = (reply: OrderResult): void => {
         this.#open.delete(request);
         resolve(reply);
       };
       const reset = (): void => {
         request.socket?.resetAndDestroy();
         request.destroy();
-        settle(sent ? OrderReply.Unknown : OrderReply.NotSent);
+        settle(sent ? OrderResult.Unknown : OrderResult.NotSent);
       };
       this.#open.set(request, reset);
       request.once("socket", (socket) => {
@@ -80,7 +80,7 @@
       });
       request.once("timeout", reset);
       request.once("error", (error: NodeJS.ErrnoException) => {
-        settle(NEVER_SENT_CODES.has(error.code ?? "") || !sent ? OrderReply.NotSent : OrderReply.Unknown);
+        settle(NEVER_SENT_CODES.has(error.code ?? "") || !sent ? OrderResult.NotSent : OrderResult.Unknown);
       });
     });
   }
@@ -91,7 +91,7 @@
   }
 }
 
-function replyOf(status: number): OrderReply {
-  if (status === 200) return OrderReply.Confirmed;
-  return status === 409 ? OrderReply.Stale : OrderReply.Unknown;
+function replyOf(status: number): OrderResult {
+  if (status === 200) return OrderResult.Confirmed;
+  return status === 409 ? OrderResult.Stale : OrderResult.Unknown;
 }
