--- a/packages/common/src/clock.ts
+++ b/packages/common/src/clock.ts
@@ -1,10 +1,10 @@
-/** Sources of time. The core never reads a clock itself: it is handed instants. */
+/** Clocks. The core never reads a clock itself: its caller passes the current time in. */
 
-/** Where a process gets its time from. */
+/** The clocks that a process reads. */
 export interface Clock {
-  /** @returns milliseconds of a clock that never goes back and counts only differences */
+  /** @returns milliseconds of a monotonic clock; only differences between readings are meaningful */
   now(): number;
-  /** @returns milliseconds since 1970 by the VM's calendar clock, which may jump */
+  /** @returns Unix time in milliseconds by the VM's system clock, which may jump */
   systemTime(): number;
 }
 
@@ -15,20 +15,20 @@
     return performance.now();
   }
 
-  /** {@inheritDoc Clock.wall} */
+  /** {@inheritDoc Clock.systemTime} */
   systemTime(): number {
     return Date.now();
   }
 }
 
-/** A clock that moves only when it is told to. */
+/** A clock that moves only by calls of {@link ManualClock.advance}. */
 export class ManualClock implements Clock {
   #now = 0;
-  readonly #wallStart: number;
+  readonly #systemTimeStart: number;
 
-  /** @param wallStart - calendar time, in milliseconds, at instant 0 */
-  constructor(wallStart = 1_700_000_000_000) {
-    this.#wallStart = wallStart;
+  /** @param systemTimeStart - Unix time in milliseconds when the monotonic clock is 0 */
+  constructor(systemTimeStart = 1_700_000_000_000) {
+    this.#systemTimeStart = systemTimeStart;
   }
 
   /** {@inheritDoc Clock.now} */
@@ -36,12 +36,12 @@
     return this.#now;
   }
 
-  /** {@inheritDoc Clock.wall} */
+  /** {@inheritDoc Clock.systemTime} */
   systemTime(): number {
-    return this.#wallStart + this.#now;
+    return this.#systemTimeStart + this.#now;
   }
 
-  /** @param milliseconds - how far to move on */
+  /** @param milliseconds - how far to move both clocks forward */
   advance(milliseconds: number): void {
     this.#now += milliseconds;
   }
--- a/packages/common/src/hash.ts
+++ b/packages/common/src/hash.ts
@@ -5,7 +5,7 @@
 
 /**
  * @param text - what to hash
- * @returns an unsigned 32-bit hash, the same in every process
+ * @returns an unsigned 32-bit xxHash, the same in every process
  */
 export function hash32(text: string): number {
   return hasher.h32(text);
@@ -20,12 +20,12 @@
 }
 
 /**
- * Rendezvous hashing: every process with the same candidates comes to the same
- * order, and a candidate that goes away moves only its own keys.
+ * Orders candidates by rendezvous hashing: every process with the same candidates
+ * gets the same order, and removing a candidate moves only the keys it held.
  *
- * @param key - what is to be placed
- * @param candidates - the names to choose from
- * @returns the candidates, the preferred one first
+ * @param key - the key to place
+ * @param candidates - names of the candidates
+ * @returns the candidates, most preferred first
  */
 export function rendezvousOrder(key: string, candidates: readonly string[]): string[] {
   const scored = candidates.map((name) => ({ name, score: hash32(`${key}\u0000${name}`) }));
--- a/packages/common/src/index.ts
+++ b/packages/common/src/index.ts
@@ -1,4 +1,4 @@
-/** What every package of the project shares: time, randomness, hashing, errors, log lines. */
+/** Utilities that all packages share: clocks, random numbers, hashing, errors, log lines. */
 export * from "./clock.js";
 export * from "./errors.js";
 export * from "./hash.js";
--- a/packages/common/src/logLine.ts
+++ b/packages/common/src/logLine.ts
@@ -1,11 +1,11 @@
-/** A value that can stand in a log line or a time line event. */
+/** A value of a field in a log line or a timeline event. */
 export type Field = string | number | boolean | undefined;
 
 const NEEDS_QUOTES = /[\s"=]/;
 
 /**
- * @param fields - names and values; undefined ones are left out
- * @returns one line of key=value pairs
+ * @param fields - names and values; undefined values are left out
+ * @returns one line of key=value pairs, with quotes around values that need them
  */
 export function formatFields(fields: Readonly<Record<string, Field>>): string {
   const parts: string[] = [];
--- a/packages/common/src/metrics.ts
+++ b/packages/common/src/metrics.ts
@@ -2,47 +2,49 @@
 
 const PERCENTILES = [50, 95, 99];
 
-/** How exactly durations are kept. */
+/** Range and precision of the histograms. */
 export interface HistogramOptions {
-  /** Largest value; larger ones count as this one. */
+  /** Highest value that is tracked; higher values are recorded as this one. */
   readonly maxValue: number;
   readonly significantDigits: 1 | 2 | 3 | 4 | 5;
 }
 
-/** Counters and histograms as Prometheus text; a duration's name tells its unit. */
+/** Counters and histograms, reported as Prometheus text. The name of a duration states its unit. */
 export class Metrics<Duration extends string> {
-  readonly #bounds: HistogramOptions;
+  readonly #options: HistogramOptions;
   readonly #histograms = new Map<Duration, histograms.Histogram>();
   readonly #counters = new Map<string, number>();
 
   /**
-   * @param bounds - how exactly durations are kept
-   * @param fromStart - durations that are told before their first record; others come in the order of theirs
+   * @param options - range and precision of the histograms
+   * @param preregistered - durations that are reported before their first value; others appear with theirs
    */
-  constructor(bounds: HistogramOptions, fromStart: readonly Duration[] = []) {
-    this.#bounds = bounds;
-    for (const duration of fromStart) this.#histogram(duration);
+  constructor(options: HistogramOptions, preregistered: readonly Duration[] = []) {
+    this.#options = options;
+    for (const duration of preregistered) this.#histogram(duration);
   }
 
   /**
    * @param duration - what was measured
-   * @param value - in the unit that its name gives
+   * @param value - the measured value, in the unit that the name of the duration states
    */
   record(duration: Duration, value: number): void {
-    this.#histogram(duration).recordValue(Math.min(this.#bounds.maxValue, Math.max(0, Math.round(value))));
+    this.#histogram(duration).recordValue(Math.min(this.#options.maxValue, Math.max(0, Math.round(value))));
   }
 
   /**
-   * @param name - the counter
-   * @param by - how much it grows
+   * Increments a counter.
+   *
+   * @param name - name of the counter
+   * @param by - the increment
    */
   count(name: string, by = 1): void {
     this.#counters.set(name, (this.#counters.get(name) ?? 0) + by);
   }
 
   /**
-   * @param gauges - values of the moment
-   * @returns Prometheus text
+   * @param gauges - current values by name
+   * @returns the metrics in Prometheus text format
    */
   text(gauges: Readonly<Record<string, number>>): string {
     const lines: string[] = [];
@@ -62,7 +64,7 @@
   #histogram(duration: Duration): histograms.Histogram {
     let histogram = this.#histograms.get(duration);
     if (histogram === undefined) {
-      const { maxValue: largest, significantDigits } = this.#bounds;
+      const { maxValue: largest, significantDigits } = this.#options;
       histogram = histograms.build({
         highestTrackableValue: largest,
         numberOfSignificantValueDigits: significantDigits,
--- a/packages/common/src/random.ts
+++ b/packages/common/src/random.ts
@@ -2,11 +2,11 @@
 
 const RANGE = 2 ** 30;
 
-/** A seeded source of random numbers, so that a run can be repeated. */
+/** A seeded random number generator, so that runs are reproducible. */
 export class SeededRandom {
   readonly #generator: prand.RandomGenerator;
 
-  /** @param seed - equal seeds give equal sequences */
+  /** @param seed - equal seeds produce equal sequences */
   constructor(seed: number) {
     this.#generator = prand.xoroshiro128plus(seed);
   }
@@ -17,8 +17,8 @@
   }
 
   /**
-   * @param below - upper bound, not included
-   * @returns a whole number in [0, below)
+   * @param below - exclusive upper bound
+   * @returns an integer in [0, below)
    */
   integer(below: number): number {
     return Math.floor(this.next() * below);
@@ -26,13 +26,13 @@
 
   /**
    * @param mean - mean of the distribution
-   * @returns a draw from the exponential distribution
+   * @returns a sample from the exponential distribution
    */
   exponential(mean: number): number {
     return -mean * Math.log(1 - this.next());
   }
 
-  /** @returns 128 random bits in hexadecimal, for ids within a seeded run */
+  /** @returns 128 random bits in hexadecimal, for ids in a seeded run */
   identifier(): string {
     let text = "";
     for (let part = 0; part < 4; part++) {
--- a/packages/endpoints/src/engineClient.ts
+++ b/packages/endpoints/src/engineClient.ts
@@ -2,7 +2,7 @@
 import * as eventsource from "eventsource-parser";
 import * as zod from "zod";
 
-/** One piece of a streamed answer. */
+/** One chunk of a streamed completion. */
 export interface StreamChunk {
   readonly index: number;
   readonly content: string;
@@ -10,39 +10,39 @@
   readonly data: string;
 }
 
-/** How reading a stream ended. */
+/** Why a stream ended. */
 export enum StreamEnd {
-  /** The end marker came. */
+  /** The end marker was received. */
   Marker = "marker",
-  /** The engine says that it did not run the request. */
+  /** The engine reports that it did not run the request. */
   Refused = "refused",
   NeverSent = "never-sent",
-  /** Closed or silent before the end marker. */
+  /** The connection closed or timed out before the end marker. */
   Broken = "broken",
   /** The reply carries another request's id. */
   RequestIdMismatch = "crossed",
-  /** The engine knows no such stream. */
+  /** The engine does not know the stream. */
   Unknown = "unknown",
-  /** The reader asked to stop. */
+  /** The chunk handler stopped it. */
   Stopped = "stopped",
 }
 
 /** A request to an engine. */
 export interface EngineRequest {
-  /** Path of the API, such as `/v1/chat/completions`. */
+  /** Path of the API call, such as `/v1/chat/completions`. */
   readonly path: string;
   readonly attempt: string;
   readonly body: Readonly<Record<string, unknown>>;
 }
 
-/** What reads a stream: returns false to stop. */
-export type PieceReader = (piece: StreamChunk) => boolean;
+/** Handles each chunk of a stream; returns false to stop reading. */
+export type ChunkHandler = (chunk: StreamChunk) => boolean;
 
-const HEAD_TIMEOUT_MS = 3000;
-/** Engines send a comment line at least every half second, so this long a silence means a dead connection. */
-const SILENCE_MS = 2500;
+const HEADERS_TIMEOUT_MS = 3000;
+/** Engines send a comment line at least every 500 ms, so a longer silence means that the connection is dead. */
+const BODY_IDLE_TIMEOUT_MS = 2500;
 const PREFILL_TIMEOUT_MS = 60_000;
-const CONNECTIONS = 256;
+const MAX_CONNECTIONS = 256;
 
 const chunkSchema = zod.looseObject({
   choices: zod.array(
@@ -53,84 +53,84 @@
   ),
 });
 
-/** A client of one engine: OpenAI-compatible completions, streams that resume, load. */
+/** Client of one engine: OpenAI-compatible completions, resumable streams and load metrics. */
 export class EngineClient {
   readonly #origin: platform.Origin;
 
-  /** @param url - the engine's address */
+  /** @param url - base URL of the engine */
   constructor(url: string) {
-    this.#origin = new platform.Origin(url, CONNECTIONS);
+    this.#origin = new platform.Origin(url, MAX_CONNECTIONS);
   }
 
   /**
    * Sends a request and reads its stream.
    *
    * @param request - the request
-   * @param onPiece - told of each piece
-   * @param signal - ends the reading
-   * @returns how it ended
+   * @param onChunk - called with each chunk
+   * @param signal - aborts the stream
+   * @returns why it ended
    */
-  async stream(request: EngineRequest, onPiece: PieceReader, signal: AbortSignal): Promise<StreamEnd> {
+  async stream(request: EngineRequest, onChunk: ChunkHandler, signal: AbortSignal): Promise<StreamEnd> {
     const opened = await this.#origin.open({
       ...this.#post(request, { ...request.body, stream: true }),
-      headTimeoutMs: HEAD_TIMEOUT_MS,
-      silenceMs: SILENCE_MS,
+      headersTimeoutMs: HEADERS_TIMEOUT_MS,
+      bodyIdleTimeoutMs: BODY_IDLE_TIMEOUT_MS,
       signal,
     });
-    return this.#read(opened, request.attempt, onPiece);
+    return this.#read(opened, request.attempt, onChunk);
   }
 
   /**
-   * Takes a stream up again on a new connection.
+   * Resumes a stream on a new connection.
    *
    * @param attempt - id of the stream
-   * @param from - first index wanted
-   * @param onPiece - told of each piece
-   * @param signal - ends the reading
-   * @returns how it ended
+   * @param from - index of the first chunk to receive
+   * @param onChunk - called with each chunk
+   * @param signal - aborts the stream
+   * @returns why it ended
    */
-  async resume(attempt: string, from: number, onPiece: PieceReader, signal: AbortSignal): Promise<StreamEnd> {
+  async resume(attempt: string, from: number, onChunk: ChunkHandler, signal: AbortSignal): Promise<StreamEnd> {
     this.#origin.reset();
     const opened = await this.#origin.open({
       path: `/v1/streams/${encodeURIComponent(attempt)}?from=${from}`,
       method: "GET",
-      headTimeoutMs: HEAD_TIMEOUT_MS,
-      silenceMs: SILENCE_MS,
+      headersTimeoutMs: HEADERS_TIMEOUT_MS,
+      bodyIdleTimeoutMs: BODY_IDLE_TIMEOUT_MS,
       signal,
     });
-    return this.#read(opened, attempt, onPiece);
+    return this.#read(opened, attempt, onChunk);
   }
 
   /**
-   * Has a prompt taken in, to be handed to a decoding engine.
+   * Runs only the prefill of a prompt, to be handed over to a decode engine.
    *
    * @param request - the request
-   * @param signal - ends the wait
-   * @returns how it ended
+   * @param signal - aborts the call
+   * @returns how the call ended; {@link StreamEnd.Marker} means success
    */
   async prefill(request: EngineRequest, signal: AbortSignal): Promise<StreamEnd> {
     const body = { ...request.body, stream: false, kv_transfer_params: { do_remote_decode: true } };
     const reply = await this.#origin.call({
       ...this.#post(request, body),
-      headTimeoutMs: PREFILL_TIMEOUT_MS,
-      silenceMs: SILENCE_MS,
+      headersTimeoutMs: PREFILL_TIMEOUT_MS,
+      bodyIdleTimeoutMs: BODY_IDLE_TIMEOUT_MS,
       signal,
     });
-    if (reply.isErr()) return endOf(reply.error);
-    if (isRefusal(reply.value.status, reply.value.headers)) return StreamEnd.Refused;
+    if (reply.isErr()) return toStreamEnd(reply.error);
+    if (isNotRunReply(reply.value.status, reply.value.headers)) return StreamEnd.Refused;
     if (reply.value.headers["x-request-id"] !== request.attempt) return StreamEnd.RequestIdMismatch;
     return reply.value.status === 200 ? StreamEnd.Marker : StreamEnd.Broken;
   }
 
-  /** @param attempt - the stream to end */
+  /** @param attempt - id of the stream to cancel */
   async cancel(attempt: string): Promise<void> {
-    const timeouts = { headTimeoutMs: HEAD_TIMEOUT_MS, silenceMs: SILENCE_MS };
+    const timeouts = { headersTimeoutMs: HEADERS_TIMEOUT_MS, bodyIdleTimeoutMs: BODY_IDLE_TIMEOUT_MS };
     await this.#origin.call({ path: `/v1/streams/${encodeURIComponent(attempt)}`, method: "DELETE", ...timeouts });
   }
 
-  /** @returns the Prometheus text of the engine's load, if it answers */
+  /** @returns the engine's metrics as Prometheus text, or undefined if the call failed */
   async metrics(): Promise<string | undefined> {
-    const timeouts = { headTimeoutMs: HEAD_TIMEOUT_MS, silenceMs: SILENCE_MS };
+    const timeouts = { headersTimeoutMs: HEADERS_TIMEOUT_MS, bodyIdleTimeoutMs: BODY_IDLE_TIMEOUT_MS };
     const reply = await this.#origin.call({ path: "/metrics", method: "GET", ...timeouts });
     return reply.isOk() && reply.value.status === 200 ? reply.value.body.toString("utf8") : undefined;
   }
@@ -148,30 +148,30 @@
   async #read(
     opened: Awaited<ReturnType<platform.Origin["open"]>>,
     attempt: string,
-    onPiece: PieceReader,
+    onChunk: ChunkHandler,
   ): Promise<StreamEnd> {
-    if (opened.isErr()) return endOf(opened.error);
+    if (opened.isErr()) return toStreamEnd(opened.error);
     const { statusCode, headers, body } = opened.value;
     if (statusCode !== 200) {
       body.on("error", () => undefined).destroy();
       if (statusCode === 404) return StreamEnd.Unknown;
-      return isRefusal(statusCode, headers) ? StreamEnd.Refused : StreamEnd.Broken;
+      return isNotRunReply(statusCode, headers) ? StreamEnd.Refused : StreamEnd.Broken;
     }
-    // The nonce of the attempt: an answer on a reused connection may be another request's.
+    // A reply on a reused connection may belong to another request, so it must carry the id of this attempt.
     if (headers["x-request-id"] !== attempt) {
       body.on("error", () => undefined).destroy();
       return StreamEnd.RequestIdMismatch;
     }
     try {
-      return await readEvents(body, onPiece);
+      return await readEvents(body, onChunk);
     } catch (error) {
-      this.#origin.fail(error);
+      this.#origin.handleError(error);
       return StreamEnd.Broken;
     }
   }
 }
 
-async function readEvents(body: platform.OpenReply["body"], onPiece: PieceReader): Promise<StreamEnd> {
+async function readEvents(body: platform.StreamedReply["body"], onChunk: ChunkHandler): Promise<StreamEnd> {
   const state = { end: StreamEnd.Broken, nextIndex: 0 };
   const parser = eventsource.createParser({
     onEvent: (event) => {
@@ -182,26 +182,26 @@
       }
       const index = event.id === undefined ? state.nextIndex : Number(event.id);
       state.nextIndex = index + 1;
-      if (!onPiece({ index, content: contentOf(event.data), data: event.data })) state.end = StreamEnd.Stopped;
+      if (!onChunk({ index, content: parseContent(event.data), data: event.data })) state.end = StreamEnd.Stopped;
     },
   });
   const decoder = new TextDecoder();
-  for await (const chunk of body as AsyncIterable<Buffer>) {
-    parser.feed(decoder.decode(chunk, { stream: true }));
+  for await (const bytes of body as AsyncIterable<Buffer>) {
+    parser.feed(decoder.decode(bytes, { stream: true }));
     if (state.end === StreamEnd.Stopped) break;
   }
   return state.end;
 }
 
-function contentOf(data: string): string {
+function parseContent(data: string): string {
   const [choice] = chunkSchema.parse(JSON.parse(data)).choices;
   return choice?.delta?.content ?? choice?.text ?? "";
 }
 
-function isRefusal(status: number, headers: Record<string, string | string[] | undefined>): boolean {
+function isNotRunReply(status: number, headers: Record<string, string | string[] | undefined>): boolean {
   return status >= 400 && headers["x-outcome"] === "not-run";
 }
 
-function endOf(failure: platform.TransportFailure): StreamEnd {
+function toStreamEnd(failure: platform.TransportFailure): StreamEnd {
   return failure.delivery === platform.DeliveryStatus.NeverSent ? StreamEnd.NeverSent : StreamEnd.Broken;
 }
--- a/packages/endpoints/src/orderConnection.ts
+++ b/packages/endpoints/src/orderSender.ts
@@ -1,6 +1,6 @@
 import * as http from "node:http";
 
-/** An order to an engine. */
+/** An order that an engine take a role, with its fencing number and epoch. */
 export interface EngineOrder {
   readonly url: string;
   readonly number: number;
@@ -20,20 +20,22 @@
 const NEVER_SENT_CODES = new Set(["ECONNREFUSED", "EHOSTUNREACH", "ENETUNREACH"]);
 
 /**
- * Sends orders, each on a fresh connection. The check whether the order may
- * still go out and the write of its bytes happen in one synchronous step after
- * the connection stands: on a connection that were still being made, the bytes
- * would wait in the process, and a pause could come between.
+ * Sends orders, each on a new connection. The check whether the order may still
+ * be sent and the write of its bytes happen in one synchronous step after the
+ * connection is established. If the bytes were written earlier, they would wait in
+ * the process until it is, and the process could pause between check and sending.
  *
- * A connection without an answer is reset, which discards what its socket
- * buffer still holds, so that no copy of an order is left to arrive later.
+ * A connection without an answer is reset. This discards the data in its socket
+ * buffer, so that no copy of an order can arrive later.
  */
 export class OrderSender {
-  readonly #open = new Map<http.ClientRequest, () => void>();
+  readonly #pendingResets = new Map<http.ClientRequest, () => void>();
 
   /**
+   * Sends an order and waits for its answer.
+   *
    * @param order - the order
-   * @param mayStillSend - asked in the step that writes
+   * @param mayStillSend - whether the order may still be sent; called in the same step as the write
    * @returns how it ended
    */
   send(order: EngineOrder, mayStillSend: () => boolean): Promise<OrderResult> {
@@ -51,16 +53,16 @@
         },
       });
       let sent = false;
-      const settle = (reply: OrderResult): void => {
-        this.#open.delete(request);
-        resolve(reply);
+      const settle = (result: OrderResult): void => {
+        this.#pendingResets.delete(request);
+        resolve(result);
       };
       const reset = (): void => {
         request.socket?.resetAndDestroy();
         request.destroy();
         settle(sent ? OrderResult.Unknown : OrderResult.NotSent);
       };
-      this.#open.set(request, reset);
+      this.#pendingResets.set(request, reset);
       request.once("socket", (socket) => {
         socket.once("connect", () => {
           if (!mayStillSend()) {
@@ -74,7 +76,7 @@
       request.once("response", (response) => {
         response.resume();
         response.once("end", () => {
-          settle(replyOf(response.statusCode ?? 0));
+          settle(toOrderResult(response.statusCode ?? 0));
         });
         response.once("error", reset);
       });
@@ -85,13 +87,13 @@
     });
   }
 
-  /** Resets every connection whose order has no answer. */
+  /** Resets every connection whose order has no answer yet. */
   resetAll(): void {
-    for (const reset of [...this.#open.values()]) reset();
+    for (const reset of [...this.#pendingResets.values()]) reset();
   }
 }
 
-function replyOf(status: number): OrderResult {
+function toOrderResult(status: number): OrderResult {
   if (status === 200) return OrderResult.Confirmed;
   return status === 409 ? OrderResult.Stale : OrderResult.Unknown;
 }
--- a/packages/endpoints/src/serviceClient.ts
+++ b/packages/endpoints/src/serviceClient.ts
@@ -1,7 +1,7 @@
 import type * as neverthrow from "neverthrow";
 import * as platform from "@camphorcourse/fleet-state";
 
-/** A call of a plain service. */
+/** A call to a plain service. */
 export interface ServiceCall {
   readonly path: string;
   readonly method: platform.CallOptions["method"];
@@ -10,26 +10,26 @@
   readonly timeoutMs: number;
 }
 
-const CONNECTIONS = 128;
+const MAX_CONNECTIONS = 128;
 
-/** A client of one plain endpoint. It never sends a call twice. */
+/** Client of one endpoint of a plain service. It never retries a call. */
 export class ServiceClient {
   readonly #origin: platform.Origin;
 
-  /** @param url - the endpoint's address */
+  /** @param url - base URL of the endpoint */
   constructor(url: string) {
-    this.#origin = new platform.Origin(url, CONNECTIONS);
+    this.#origin = new platform.Origin(url, MAX_CONNECTIONS);
   }
 
   /**
    * @param call - the call
-   * @param signal - ends the wait
-   * @returns the whole reply, or how far the call can have got
+   * @param signal - aborts the call
+   * @returns the complete reply, or the failure and whether the call may have been delivered
    */
   call(
     call: ServiceCall,
     signal: AbortSignal,
-  ): Promise<neverthrow.Result<platform.WholeReply, platform.TransportFailure>> {
+  ): Promise<neverthrow.Result<platform.BufferedReply, platform.TransportFailure>> {
     const { path, method, headers, body, timeoutMs } = call;
     const content = body.length > 0 ? { body } : {};
     return this.#origin.call({
@@ -37,8 +37,8 @@
       method,
       headers,
       ...content,
-      headTimeoutMs: timeoutMs,
-      silenceMs: timeoutMs,
+      headersTimeoutMs: timeoutMs,
+      bodyIdleTimeoutMs: timeoutMs,
       signal,
     });
   }
--- a/packages/fleet-state/src/keyValueClient.ts
+++ b/packages/fleet-state/src/keyValueClient.ts
@@ -2,7 +2,7 @@
 import * as zod from "zod";
 import * as origin from "./origin.js";
 
-/** A key as it was read, or its deletion as a watch tells it. */
+/** A key with its value, or its deletion as reported by a watch. */
 export interface KeyEntry {
   readonly key: string;
   readonly value: string;
@@ -11,39 +11,39 @@
   readonly deleted?: boolean;
 }
 
-/** A condition: the key has this revision; 0 means that it does not exist. */
+/** A precondition of a transaction: the key has this revision; 0 means that it does not exist. */
 export interface Condition {
   readonly key: string;
   readonly kind: "CREATE" | "MOD";
   readonly revision: number;
 }
 
-/** Writes that are done together when all conditions hold. */
+/** Writes that are applied atomically if all conditions hold. */
 export interface TransactionRequest {
   readonly conditions: readonly Condition[];
   readonly puts: readonly { readonly key: string; readonly value: string; readonly lease?: string }[];
   readonly deletes: readonly { readonly key: string; readonly rangeEnd?: string }[];
 }
 
-/** A range as it was read. */
+/** The keys of a range, and the revision at which they were read. */
 export interface RangeReply {
   readonly entries: readonly KeyEntry[];
   readonly revision: number;
 }
 
-/** What a watch tells. */
+/** One message of a watch. */
 export interface WatchReply {
   readonly entries: readonly KeyEntry[];
-  /** Every change up to this revision has been told. */
+  /** Every change up to this revision has been reported. */
   readonly revision: number;
-  /** Set when changes were lost: the range must be read anew. */
+  /** Whether changes were lost to compaction, so that the range must be read again. */
   readonly compacted: boolean;
 }
 
 const CALL_TIMEOUT_MS = 1500;
-/** The service sends progress every second, so a watch silent for longer is dead. */
-const WATCH_SILENCE_MS = 3500;
-const CONNECTIONS = 8;
+/** The service reports progress every second, so a watch that is silent for this long is dead. */
+const WATCH_IDLE_TIMEOUT_MS = 3500;
+const MAX_CONNECTIONS = 8;
 
 const headerSchema = zod.looseObject({ revision: zod.string() });
 const wireKeySchema = zod.looseObject({
@@ -64,26 +64,28 @@
   }),
 });
 
-/** A client of the key-value service, by the etcd v3 JSON gateway. */
+/** Client of the key-value service, through the JSON gateway of the etcd v3 API. */
 export class KeyValueClient {
   readonly #origin: origin.Origin;
 
-  /** @param url - the service's address */
+  /** @param url - base URL of the service */
   constructor(url: string) {
-    this.#origin = new origin.Origin(url, CONNECTIONS);
+    this.#origin = new origin.Origin(url, MAX_CONNECTIONS);
   }
 
   /**
+   * Reads a key or a range; retries once if the first call failed after it may have been sent.
+   *
    * @param key - first key
-   * @param rangeEnd - end of the range, not included; missing for one key
-   * @returns the keys with the revision of the reading
+   * @param rangeEnd - exclusive end of the range; undefined for a single key
+   * @returns the keys, and the revision at which they were read
    */
   async range(key: string, rangeEnd?: string): Promise<neverthrow.Result<RangeReply, origin.TransportFailure>> {
-    const body = { key: encode(key), ...(rangeEnd === undefined ? {} : { range_end: encode(rangeEnd) }) };
+    const body = { key: encodeBase64(key), ...(rangeEnd === undefined ? {} : { range_end: encodeBase64(rangeEnd) }) };
     const first = await this.#post("/v3/kv/range", body, rangeSchema);
-    // A reading can be repeated: silence, or an end, may have been that of one old connection only.
-    const again = first.isErr() && first.error.delivery === origin.DeliveryStatus.MayHaveArrived;
-    const reply = again ? await this.#post("/v3/kv/range", body, rangeSchema) : first;
+    // A read is safe to retry, and a timeout or a closed connection may concern a single stale connection.
+    const mayRetry = first.isErr() && first.error.delivery === origin.DeliveryStatus.MayHaveArrived;
+    const reply = mayRetry ? await this.#post("/v3/kv/range", body, rangeSchema) : first;
     return reply.map((value) => ({
       entries: (value.kvs ?? []).map((wire) => toEntry(wire, false)),
       revision: Number(value.header.revision),
@@ -91,30 +93,39 @@
   }
 
   /**
+   * Applies writes if all conditions hold.
+   *
    * @param request - conditions and writes
-   * @returns whether the conditions held, and the revision
+   * @returns whether the conditions held, and the revision of the service
    */
   async transact(
     request: TransactionRequest,
   ): Promise<neverthrow.Result<{ succeeded: boolean; revision: number }, origin.TransportFailure>> {
     const compare = request.conditions.map((condition) => ({
-      key: encode(condition.key),
+      key: encodeBase64(condition.key),
       target: condition.kind,
       result: "EQUAL",
       [condition.kind === "CREATE" ? "create_revision" : "mod_revision"]: String(condition.revision),
     }));
     const puts = request.puts.map((put) => ({
-      requestPut: { key: encode(put.key), value: encode(put.value), ...(put.lease ? { lease: put.lease } : {}) },
+      requestPut: {
+        key: encodeBase64(put.key),
+        value: encodeBase64(put.value),
+        ...(put.lease ? { lease: put.lease } : {}),
+      },
     }));
     const deletes = request.deletes.map((range) => ({
-      requestDeleteRange: { key: encode(range.key), ...(range.rangeEnd ? { range_end: encode(range.rangeEnd) } : {}) },
+      requestDeleteRange: {
+        key: encodeBase64(range.key),
+        ...(range.rangeEnd ? { range_end: encodeBase64(range.rangeEnd) } : {}),
+      },
     }));
     const reply = await this.#post("/v3/kv/txn", { compare, success: [...puts, ...deletes] }, transactionSchema);
     return reply.map((value) => ({ succeeded: value.succeeded ?? false, revision: Number(value.header.revision) }));
   }
 
   /**
-   * @param ttlMs - time to live
+   * @param ttlMs - time to live in milliseconds; the service takes whole seconds, so it is rounded up
    * @returns the id of a new lease
    */
   async grantLease(ttlMs: number): Promise<neverthrow.Result<string, origin.TransportFailure>> {
@@ -123,8 +134,10 @@
   }
 
   /**
+   * Renews a lease.
+   *
    * @param lease - id of the lease
-   * @returns its time to live in milliseconds; 0 if it has ended
+   * @returns its time to live in milliseconds; 0 if it has expired
    */
   async keepAlive(lease: string): Promise<neverthrow.Result<number, origin.TransportFailure>> {
     const reply = await this.#post("/v3/lease/keepalive", { ID: lease }, keepAliveSchema);
@@ -132,8 +145,8 @@
   }
 
   /**
-   * @param lease - id of the lease to end
-   * @returns nothing, or why it could not be ended
+   * @param lease - id of the lease to revoke
+   * @returns nothing, or why it could not be revoked
    */
   async revokeLease(lease: string): Promise<neverthrow.Result<void, origin.TransportFailure>> {
     const reply = await this.#post("/v3/lease/revoke", { ID: lease }, zod.looseObject({}));
@@ -141,12 +154,12 @@
   }
 
   /**
-   * Follows a range until the connection ends or falls silent.
+   * Watches a range until the connection closes or times out.
    *
    * @param key - first key
-   * @param rangeEnd - end of the range, not included
-   * @param fromRevision - first revision wanted
-   * @param onReply - told of each message
+   * @param rangeEnd - exclusive end of the range
+   * @param fromRevision - first revision to report
+   * @param onReply - called with each message
    * @param signal - ends the watch
    * @returns why it ended
    */
@@ -158,15 +171,15 @@
     signal: AbortSignal,
   ): Promise<origin.TransportFailure> {
     const create = {
-      key: encode(key),
-      range_end: encode(rangeEnd),
+      key: encodeBase64(key),
+      range_end: encodeBase64(rangeEnd),
       start_revision: String(fromRevision),
       progress_notify: true,
     };
     const opened = await this.#origin.open({
-      ...post("/v3/watch", { create_request: create }),
-      headTimeoutMs: CALL_TIMEOUT_MS,
-      silenceMs: WATCH_SILENCE_MS,
+      ...toPostOptions("/v3/watch", { create_request: create }),
+      headersTimeoutMs: CALL_TIMEOUT_MS,
+      bodyIdleTimeoutMs: WATCH_IDLE_TIMEOUT_MS,
       signal,
     });
     if (opened.isErr()) return opened.error;
@@ -176,7 +189,7 @@
       });
       return { delivery: origin.DeliveryStatus.MayHaveArrived, silent: false, detail: "the service ended the watch" };
     } catch (error) {
-      return this.#origin.fail(error);
+      return this.#origin.handleError(error);
     }
   }
 
@@ -191,20 +204,20 @@
     schema: Schema,
   ): Promise<neverthrow.Result<zod.infer<Schema>, origin.TransportFailure>> {
     const reply = await this.#origin.call({
-      ...post(path, body),
-      headTimeoutMs: CALL_TIMEOUT_MS,
-      silenceMs: CALL_TIMEOUT_MS,
+      ...toPostOptions(path, body),
+      headersTimeoutMs: CALL_TIMEOUT_MS,
+      bodyIdleTimeoutMs: CALL_TIMEOUT_MS,
     });
     if (reply.isErr()) return neverthrow.err(reply.error);
     const { status } = reply.value;
     const parsed = status === 200 ? schema.safeParse(parseJson(reply.value.body.toString("utf8"))) : undefined;
     if (parsed?.success) return neverthrow.ok(parsed.data);
-    const detail = `${path} answered ${status} with something else than expected`;
+    const detail = `unexpected reply from ${path} with status ${status}`;
     return neverthrow.err({ delivery: origin.DeliveryStatus.MayHaveArrived, silent: false, detail });
   }
 }
 
-function post(path: string, body: object): Pick<origin.CallOptions, "path" | "method" | "headers" | "body"> {
+function toPostOptions(path: string, body: object): Pick<origin.CallOptions, "path" | "method" | "headers" | "body"> {
   return { path, method: "POST", headers: { "content-type": "application/json" }, body: JSON.stringify(body) };
 }
 
@@ -217,18 +230,18 @@
     .unwrapOr(undefined);
 }
 
-function encode(text: string): string {
+function encodeBase64(text: string): string {
   return Buffer.from(text, "utf8").toString("base64");
 }
 
-function decode(text: string): string {
+function decodeBase64(text: string): string {
   return Buffer.from(text, "base64").toString("utf8");
 }
 
 function toEntry(wire: zod.infer<typeof wireKeySchema>, deleted: boolean): KeyEntry {
   return {
-    key: decode(wire.key),
-    value: decode(wire.value ?? ""),
+    key: decodeBase64(wire.key),
+    value: decodeBase64(wire.value ?? ""),
     createRevision: Number(wire.create_revision ?? "0"),
     modRevision: Number(wire.mod_revision ?? "0"),
     ...(deleted ? { deleted } : {}),
@@ -246,10 +259,10 @@
 
 async function readLines(body: AsyncIterable<Buffer>, onLine: (line: string) => void): Promise<void> {
   const decoder = new TextDecoder();
-  let rest = "";
+  let remainder = "";
   for await (const chunk of body) {
-    const lines = (rest + decoder.decode(chunk, { stream: true })).split("\n");
-    rest = lines.pop() ?? "";
+    const lines = (remainder + decoder.decode(chunk, { stream: true })).split("\n");
+    remainder = lines.pop() ?? "";
     for (const line of lines) if (line !== "") onLine(line);
   }
 }
--- a/packages/fleet-state/src/origin.ts
+++ b/packages/fleet-state/src/origin.ts
@@ -1,43 +1,43 @@
 import * as neverthrow from "neverthrow";
 import * as undici from "undici";
 
-/** How far a call that failed can have got. */
+/** Whether a failed call may have reached the server. */
 export enum DeliveryStatus {
-  /** No byte of it left this process. */
+  /** No byte of the call was sent. */
   NeverSent = "never-sent",
   MayHaveArrived = "may-have-arrived",
 }
 
-/** Why there is no whole reply. */
+/** Why there is no complete reply. */
 export interface TransportFailure {
   readonly delivery: DeliveryStatus;
-  /** Whether the connection fell silent instead of failing. */
+  /** Whether the connection timed out, rather than failing with an error. */
   readonly silent: boolean;
   readonly detail: string;
 }
 
-/** A call of one origin. Times in milliseconds. */
+/** A call to an origin. Times in milliseconds. */
 export interface CallOptions {
   readonly path: string;
   readonly method: "GET" | "POST" | "PUT" | "DELETE" | "PATCH";
   readonly headers?: Record<string, string>;
   readonly body?: string | Uint8Array;
-  /** Longest wait for the head of the reply. */
-  readonly headTimeoutMs: number;
-  /** Longest silence within the body. */
-  readonly silenceMs: number;
+  /** Maximum wait for the headers of the reply. */
+  readonly headersTimeoutMs: number;
+  /** Maximum time between two reads of the body. */
+  readonly bodyIdleTimeoutMs: number;
   readonly signal?: AbortSignal;
 }
 
-/** A whole reply. */
-export interface WholeReply {
+/** A reply whose body has been received completely. */
+export interface BufferedReply {
   readonly status: number;
   readonly headers: Record<string, string | string[] | undefined>;
   readonly body: Buffer;
 }
 
-/** The head of a reply whose body is still coming. */
-export type OpenReply = undici.Dispatcher.ResponseData;
+/** The headers of a reply whose body is still being received. */
+export type StreamedReply = undici.Dispatcher.ResponseData;
 
 const CONNECT_TIMEOUT_MS = 1000;
 const KEEP_ALIVE_MS = 30_000;
@@ -48,34 +48,36 @@
   "ENETUNREACH",
   "UND_ERR_CONNECT_TIMEOUT",
 ]);
-const SILENCE_CODES = new Set(["UND_ERR_HEADERS_TIMEOUT", "UND_ERR_BODY_TIMEOUT", "ETIMEDOUT"]);
+const TIMEOUT_CODES = new Set(["UND_ERR_HEADERS_TIMEOUT", "UND_ERR_BODY_TIMEOUT", "ETIMEDOUT"]);
 
 /**
- * The connections to one address. Once a connection has fallen silent, all of
- * its age are suspect: what lies between the two ends may have lost track of
- * each of them, and every later call would wait for its timeout in turn. So
- * they are all given up together, and the next call opens a new one.
+ * A pool of connections to one origin. After a timeout on one connection all open
+ * connections are suspect: a middlebox on the path may have dropped the state of
+ * each of them, and every later call would wait for its timeout in turn. So the
+ * whole pool is replaced, and the next call opens a new connection.
  */
 export class Origin {
   readonly #url: string;
-  readonly #connections: number;
+  readonly #maxConnections: number;
   #pool: undici.Pool;
 
   /**
    * @param url - scheme, address and port
-   * @param connections - how many may be open at once
+   * @param maxConnections - maximum number of open connections
    */
-  constructor(url: string, connections: number) {
+  constructor(url: string, maxConnections: number) {
     this.#url = url;
-    this.#connections = connections;
-    this.#pool = this.#open();
+    this.#maxConnections = maxConnections;
+    this.#pool = this.#createPool();
   }
 
   /**
+   * Makes a call and reads the complete reply.
+   *
    * @param options - the call
-   * @returns the whole reply, or how far the call can have got
+   * @returns the reply, or the failure and whether the call may have been delivered
    */
-  async call(options: CallOptions): Promise<neverthrow.Result<WholeReply, TransportFailure>> {
+  async call(options: CallOptions): Promise<neverthrow.Result<BufferedReply, TransportFailure>> {
     const opened = await this.open(options);
     if (opened.isErr()) return neverthrow.err(opened.error);
     const { statusCode, headers, body } = opened.value;
@@ -83,58 +85,62 @@
       const bytes = Buffer.from(await body.arrayBuffer());
       return neverthrow.ok({ status: statusCode, headers, body: bytes });
     } catch (error) {
-      return neverthrow.err(this.fail(error));
+      return neverthrow.err(this.handleError(error));
     }
   }
 
   /**
+   * Makes a call and leaves the body of the reply to the caller to read.
+   *
    * @param options - the call
-   * @returns the reply's head with its body to be read, or how far the call can have got
+   * @returns the reply with a readable body, or the failure and whether the call may have been delivered
    */
-  async open(options: CallOptions): Promise<neverthrow.Result<OpenReply, TransportFailure>> {
+  async open(options: CallOptions): Promise<neverthrow.Result<StreamedReply, TransportFailure>> {
     try {
       const reply = await this.#pool.request({
         path: options.path,
         method: options.method,
         headers: options.headers ?? null,
         body: options.body ?? null,
-        headersTimeout: options.headTimeoutMs,
-        bodyTimeout: options.silenceMs,
+        headersTimeout: options.headersTimeoutMs,
+        bodyTimeout: options.bodyIdleTimeoutMs,
         signal: options.signal ?? null,
       });
       return neverthrow.ok(reply);
     } catch (error) {
-      return neverthrow.err(this.fail(error));
+      return neverthrow.err(this.handleError(error));
     }
   }
 
   /**
-   * @param error - what a call or a body threw
-   * @returns how far the call can have got
+   * Classifies an error; a timeout also replaces the pool.
+   *
+   * @param error - what a call or the read of a body threw
+   * @returns the failure and whether the call may have been delivered
    */
-  fail(error: unknown): TransportFailure {
-    const code = codeOf(error);
-    const silent = SILENCE_CODES.has(code);
+  handleError(error: unknown): TransportFailure {
+    const code = errorCode(error);
+    const silent = TIMEOUT_CODES.has(code);
     if (silent) this.reset();
-    const reach = NEVER_SENT_CODES.has(code) ? DeliveryStatus.NeverSent : DeliveryStatus.MayHaveArrived;
-    return { delivery: reach, silent, detail: `${code} ${error instanceof Error ? error.message : ""}`.trim() };
+    const delivery = NEVER_SENT_CODES.has(code) ? DeliveryStatus.NeverSent : DeliveryStatus.MayHaveArrived;
+    return { delivery, silent, detail: `${code} ${error instanceof Error ? error.message : ""}`.trim() };
   }
 
-  /** Gives up all connections; calls under way on them go on until they end or time out. */
+  /** Replaces all connections; calls in progress on the previous ones run until they end or time out. */
   reset(): void {
-    const old = this.#pool;
-    this.#pool = this.#open();
-    old.close().catch(() => undefined);
+    const previous = this.#pool;
+    this.#pool = this.#createPool();
+    previous.close().catch(() => undefined);
   }
 
-  /** Closes every connection at once. */
+  /** Closes all connections immediately, including those with calls in progress. */
   async destroy(): Promise<void> {
     await this.#pool.destroy();
   }
 
-  #open(): undici.Pool {
+  #createPool(): undici.Pool {
     return new undici.Pool(this.#url, {
-      connections: this.#connections,
+      connections: this.#maxConnections,
       pipelining: 1,
       connect: { timeout: CONNECT_TIMEOUT_MS },
       keepAliveTimeout: KEEP_ALIVE_MS,
@@ -142,7 +148,7 @@
   }
 }
 
-function codeOf(error: unknown): string {
+function errorCode(error: unknown): string {
   const { code, name } = error as { code?: string; name?: string };
   return code ?? name ?? "unknown";
 }
