--- a/packages/endpoints/src/orderSender.ts
+++ b/packages/endpoints/src/orderSender.ts
@@ -1,6 +1,6 @@
 import * as http from "node:http";
 
-/** An order that an engine take a role, with its fencing number and epoch. */
+/** An order to an engine to take a role, with its fencing number and epoch. */
 export interface EngineOrder {
   readonly url: string;
   readonly number: number;
--- a/packages/experiment/src/emulatedDaemon.ts
+++ b/packages/experiment/src/emulatedDaemon.ts
@@ -92,7 +92,7 @@
   }
 
   /**
-   * Places a request, or rejects it if its deadline can't be met.
+   * Chooses engines for a request and sends it to them, or rejects it.
    *
    * @param caller - caller of the new or retried request
    */
--- a/packages/fleet-state/src/keyValueClient.ts
+++ b/packages/fleet-state/src/keyValueClient.ts
@@ -187,7 +187,7 @@
       await readLines(opened.value.body, (line) => {
         onReply(toWatchReply(line));
       });
-      return { delivery: origin.DeliveryStatus.MayHaveArrived, silent: false, detail: "the service ended the watch" };
+      return { delivery: origin.DeliveryStatus.MayHaveArrived, timedOut: false, detail: "the service ended the watch" };
     } catch (error) {
       return this.#origin.handleError(error);
     }
@@ -213,7 +213,7 @@
     const parsed = status === 200 ? schema.safeParse(parseJson(reply.value.body.toString("utf8"))) : undefined;
     if (parsed?.success) return neverthrow.ok(parsed.data);
     const detail = `unexpected reply from ${path} with status ${status}`;
-    return neverthrow.err({ delivery: origin.DeliveryStatus.MayHaveArrived, silent: false, detail });
+    return neverthrow.err({ delivery: origin.DeliveryStatus.MayHaveArrived, timedOut: false, detail });
   }
 }
 
--- a/packages/fleet-state/src/origin.ts
+++ b/packages/fleet-state/src/origin.ts
@@ -12,7 +12,7 @@
 export interface TransportFailure {
   readonly delivery: DeliveryStatus;
   /** Whether the connection timed out, rather than failing with an error. */
-  readonly silent: boolean;
+  readonly timedOut: boolean;
   readonly detail: string;
 }
 
@@ -120,10 +120,10 @@
    */
   handleError(error: unknown): TransportFailure {
     const code = errorCode(error);
-    const silent = TIMEOUT_CODES.has(code);
-    if (silent) this.reset();
+    const timedOut = TIMEOUT_CODES.has(code);
+    if (timedOut) this.reset();
     const delivery = NEVER_SENT_CODES.has(code) ? DeliveryStatus.NeverSent : DeliveryStatus.MayHaveArrived;
-    return { delivery, silent, detail: `${code} ${error instanceof Error ? error.message : ""}`.trim() };
+    return { delivery, timedOut, detail: `${code} ${error instanceof Error ? error.message : ""}`.trim() };
   }
 
   /** Replaces all connections; calls in progress on the previous ones run until they end or time out. */
--- a/packages/fleet-state/src/vmListClient.ts
+++ b/packages/fleet-state/src/vmListClient.ts
@@ -30,7 +30,7 @@
       () => listSchema.parse(JSON.parse(text)),
       () => ({
         delivery: origin.DeliveryStatus.MayHaveArrived,
-        silent: false,
+        timedOut: false,
         detail: "the VM list has an unexpected format",
       }),
     );
