--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -75,7 +75,7 @@
     const seed = settings.seed === 0 ? crypto.randomInt(2 ** 31) : settings.seed;
     this.#random = new common.SeededRandom(seed);
     this.log = logger.createLogger(settings.vm, settings.logLevel, write);
-    this.#hybrid = new common.HybridClock(() => this.clock.wall());
+    this.#hybrid = new common.HybridClock(() => this.clock.systemTime());
     this.timeline = new core.Timeline(settings.vm, core.constants.TIMELINE_LIMIT);
     this.core = new core.Core({
       registration: registrationOf(settings, ports),
@@ -129,7 +129,7 @@
    */
   handle(event: core.CoreEvent): void {
     const before = this.clock.now();
-    const actions = this.core.handle(event, { now: before, wall: this.clock.wall() });
+    const actions = this.core.handle(event, { now: before, wall: this.clock.systemTime() });
     this.metrics.record(metrics.Duration.Handle, (this.clock.now() - before) * 1000);
     for (const action of actions) this.#carryOut(action);
     this.#wakeForClaims();
@@ -226,7 +226,7 @@
   async close(): Promise<void> {
     for (const timer of this.#timers) clearInterval(timer);
     clearTimeout(this.#claimTimer);
-    const farewell = this.core.markStopped({ now: this.clock.now(), wall: this.clock.wall() });
+    const farewell = this.core.markStopped({ now: this.clock.now(), wall: this.clock.systemTime() });
     for (const action of farewell) {
       if (action.type === core.ActionType.Transact) await this.keyValue.write(action.transaction, this.core.leaseId);
     }
@@ -314,11 +314,11 @@
     const { endpoint, url, shard, epoch, number, role } = action;
     const mayStillSend = (): boolean => this.core.mayOrder(shard, epoch, this.clock.now());
     const reply = await this.#orders.send({ url, number, epoch, role }, mayStillSend);
-    const outcomes: Record<endpoints.OrderReply, core.OrderOutcome> = {
-      [endpoints.OrderReply.Confirmed]: core.OrderOutcome.Confirmed,
-      [endpoints.OrderReply.Stale]: core.OrderOutcome.Stale,
-      [endpoints.OrderReply.NotSent]: core.OrderOutcome.NotSent,
-      [endpoints.OrderReply.Unknown]: core.OrderOutcome.Unknown,
+    const outcomes: Record<endpoints.OrderResult, core.OrderOutcome> = {
+      [endpoints.OrderResult.Confirmed]: core.OrderOutcome.Confirmed,
+      [endpoints.OrderResult.Stale]: core.OrderOutcome.Stale,
+      [endpoints.OrderResult.NotSent]: core.OrderOutcome.NotSent,
+      [endpoints.OrderResult.Unknown]: core.OrderOutcome.Unknown,
     };
     this.handle({ type: core.EventType.OrderAnswered, endpoint, number, outcome: outcomes[reply] });
   }
