--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -15,7 +15,7 @@
 export * from "./controlStore.js";
 export * from "./core.js";
 export * from "./drains.js";
-export * from "./duplicateDesk.js";
+export * from "./requestDeduplicator.js";
 export * from "./engineCosts.js";
 export * from "./events.js";
 export * from "./keyValueTypes.js";
--- a/packages/core/src/requestDesk.ts
+++ b/packages/core/src/requestDesk.ts
@@ -4,7 +4,7 @@
 import * as attempts from "./attempts.js";
 import * as configuration from "./configuration.js";
 import * as constants from "./constants.js";
-import * as duplicateDesk from "./duplicateDesk.js";
+import * as requestDeduplicator from "./requestDeduplicator.js";
 import * as events from "./events.js";
 import * as liveRequest from "./liveRequest.js";
 import type * as endpointChoice from "./endpointChoice.js";
@@ -16,7 +16,7 @@
 
 /** The life of each request at this daemon, from arrival to its one answer. */
 export class RequestDesk {
-  readonly duplicates: duplicateDesk.DuplicateDesk;
+  readonly duplicates: requestDeduplicator.DuplicateDesk;
   readonly #context: liveRequest.DeskContext;
   readonly #attempts: attempts.AttemptBook;
   readonly #live = new Map<string, liveRequest.LiveRequest>();
@@ -29,7 +29,7 @@
   constructor(context: liveRequest.DeskContext, attemptBook: attempts.AttemptBook) {
     this.#context = context;
     this.#attempts = attemptBook;
-    const owner: duplicateDesk.RequestOwner = {
+    const owner: requestDeduplicator.RequestOwner = {
       get: (id) => this.#live.get(id),
       close: (id) => this.#live.delete(id),
       lateProblem: (request, now) => this.#lateProblem(request, now),
@@ -43,7 +43,7 @@
         this.#note(kind, request, fields);
       },
     };
-    this.duplicates = new duplicateDesk.DuplicateDesk(context, owner, attemptBook);
+    this.duplicates = new requestDeduplicator.DuplicateDesk(context, owner, attemptBook);
   }
 
   /** @returns requests that have no final answer yet */
