--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -16,7 +16,7 @@
 import type * as orderContext from "./orderContext.js";
 import * as orderDesk from "./orderDesk.js";
 import * as peerView from "./peerView.js";
-import * as requestDesk from "./requestDesk.js";
+import * as requestManager from "./requestManager.js";
 import * as endpointModel from "./endpointModel.js";
 import * as servicePool from "./servicePool.js";
 import * as timeline from "./timeline.js";
@@ -57,7 +57,7 @@
   readonly roster: membership.Roster;
   readonly shards = new leases.ShardLeases();
   readonly orderDesk: orderDesk.OrderDesk;
-  readonly requestDesk: requestDesk.RequestDesk;
+  readonly requestDesk: requestManager.RequestDesk;
   readonly #store = new controlStore.ControlStore();
   readonly #follower: controlFollower.ControlFollower;
   readonly #leaseDesk: leaseDesk.LeaseDesk;
@@ -95,7 +95,7 @@
       emit: (action: actions.Action) => this.#actions.push(action),
     };
     const limits = { answerBytes: options.answerBytes ?? DEFAULT_ANSWER_BYTES, windowMs: constants.CLAIM_WINDOW_MS };
-    this.requestDesk = new requestDesk.RequestDesk(context, new attempts.AttemptBook(limits));
+    this.requestDesk = new requestManager.RequestDesk(context, new attempts.AttemptBook(limits));
     this.orderDesk = new orderDesk.OrderDesk(context);
     this.#peerView = new peerView.PeerView(this.#pools, this.roster, this.orderDesk);
     const servingMembers = (): membership.Registration[] => this.servingMembers(this.#instant.now);
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -27,7 +27,7 @@
 export * from "./orderDesk.js";
 export * from "./orders.js";
 export * from "./peerView.js";
-export * from "./requestDesk.js";
+export * from "./requestManager.js";
 export * from "./requestProblems.js";
 export * from "./retryBudget.js";
 export * from "./rolePlanner.js";
