--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -57,7 +57,7 @@
   readonly roster: membership.Roster;
   readonly shards = new leases.ShardLeases();
   readonly orderDesk: orderDesk.OrderDesk;
-  readonly requestDesk: requestManager.RequestDesk;
+  readonly requestDesk: requestManager.RequestManager;
   readonly #store = new controlStore.ControlStore();
   readonly #follower: controlFollower.ControlFollower;
   readonly #leaseDesk: leaseDesk.LeaseDesk;
@@ -95,7 +95,7 @@
       emit: (action: actions.Action) => this.#actions.push(action),
     };
     const limits = { answerBytes: options.answerBytes ?? DEFAULT_ANSWER_BYTES, windowMs: constants.CLAIM_WINDOW_MS };
-    this.requestDesk = new requestManager.RequestDesk(context, new attempts.AttemptBook(limits));
+    this.requestDesk = new requestManager.RequestManager(context, new attempts.AttemptBook(limits));
     this.orderDesk = new orderDesk.OrderDesk(context);
     this.#peerView = new peerView.PeerView(this.#pools, this.roster, this.orderDesk);
     const servingMembers = (): membership.Registration[] => this.servingMembers(this.#instant.now);
--- a/packages/core/src/requestManager.ts
+++ b/packages/core/src/requestManager.ts
@@ -15,7 +15,7 @@
 const MODEL_RETRY_MS = 1000;
 
 /** The life of each request at this daemon, from arrival to its one answer. */
-export class RequestDesk {
+export class RequestManager {
   readonly duplicates: requestDeduplicator.DuplicateDesk;
   readonly #context: liveRequest.DeskContext;
   readonly #attempts: attempts.AttemptBook;
