--- a/packages/core/src/requestDeduplicator.ts
+++ b/packages/core/src/requestDeduplicator.ts
@@ -23,7 +23,7 @@
  * Where deliveries of one idempotency key meet. The first claims the key and
  * runs; the others, here or at other daemons, wait for its answer.
  */
-export class DuplicateDesk {
+export class RequestDeduplicator {
   readonly #context: liveRequest.DeskContext;
   readonly #owner: RequestOwner;
   readonly #attempts: attempts.AttemptBook;
--- a/packages/core/src/requestManager.ts
+++ b/packages/core/src/requestManager.ts
@@ -16,7 +16,7 @@
 
 /** The life of each request at this daemon, from arrival to its one answer. */
 export class RequestManager {
-  readonly duplicates: requestDeduplicator.DuplicateDesk;
+  readonly duplicates: requestDeduplicator.RequestDeduplicator;
   readonly #context: liveRequest.DeskContext;
   readonly #attempts: attempts.AttemptBook;
   readonly #live = new Map<string, liveRequest.LiveRequest>();
@@ -43,7 +43,7 @@
         this.#note(kind, request, fields);
       },
     };
-    this.duplicates = new requestDeduplicator.DuplicateDesk(context, owner, attemptBook);
+    this.duplicates = new requestDeduplicator.RequestDeduplicator(context, owner, attemptBook);
   }
 
   /** @returns requests that have no final answer yet */
