--- a/packages/core/src/requestDeduplicator.ts
+++ b/packages/core/src/requestDeduplicator.ts
@@ -8,7 +8,7 @@
 import * as timeline from "./timeline.js";
 
 /** What the desk asks of the one that runs requests. */
-export interface RequestOwner {
+export interface RequestOperations {
   get(id: string): liveRequest.LiveRequest | undefined;
   admit(request: liveRequest.LiveRequest, now: number): void;
   refuse(request: liveRequest.LiveRequest, problem: common.Problem, now: number): void;
@@ -25,7 +25,7 @@
  */
 export class RequestDeduplicator {
   readonly #context: liveRequest.DeskContext;
-  readonly #owner: RequestOwner;
+  readonly #owner: RequestOperations;
   readonly #attempts: attempts.AttemptBook;
   readonly #joinersByKey = new Map<string, Set<string>>();
   readonly #remoteJoinsByKey = new Map<string, Set<string>>();
@@ -35,7 +35,7 @@
    * @param owner - runs requests
    * @param attemptBook - the attempts claimed by this daemon
    */
-  constructor(context: liveRequest.DeskContext, owner: RequestOwner, attemptBook: attempts.AttemptBook) {
+  constructor(context: liveRequest.DeskContext, owner: RequestOperations, attemptBook: attempts.AttemptBook) {
     this.#context = context;
     this.#owner = owner;
     this.#attempts = attemptBook;
--- a/packages/core/src/requestManager.ts
+++ b/packages/core/src/requestManager.ts
@@ -29,7 +29,7 @@
   constructor(context: liveRequest.DeskContext, attemptBook: attempts.AttemptBook) {
     this.#context = context;
     this.#attempts = attemptBook;
-    const owner: requestDeduplicator.RequestOwner = {
+    const owner: requestDeduplicator.RequestOperations = {
       get: (id) => this.#live.get(id),
       close: (id) => this.#live.delete(id),
       lateProblem: (request, now) => this.#lateProblem(request, now),
