--- a/packages/core/src/liveRequest.ts
+++ b/packages/core/src/liveRequest.ts
@@ -39,7 +39,7 @@
 }
 
 /** What the desk asks of its surroundings. */
-export interface DeskContext {
+export interface RequestManagerContext {
   readonly vm: string;
   readonly incarnation: string;
   readonly random: common.SeededRandom;
--- a/packages/core/src/requestDeduplicator.ts
+++ b/packages/core/src/requestDeduplicator.ts
@@ -24,7 +24,7 @@
  * runs; the others, here or at other daemons, wait for its answer.
  */
 export class RequestDeduplicator {
-  readonly #context: liveRequest.DeskContext;
+  readonly #context: liveRequest.RequestManagerContext;
   readonly #owner: RequestOperations;
   readonly #attempts: attempts.AttemptBook;
   readonly #joinersByKey = new Map<string, Set<string>>();
@@ -35,7 +35,7 @@
    * @param owner - runs requests
    * @param attemptBook - the attempts claimed by this daemon
    */
-  constructor(context: liveRequest.DeskContext, owner: RequestOperations, attemptBook: attempts.AttemptBook) {
+  constructor(context: liveRequest.RequestManagerContext, owner: RequestOperations, attemptBook: attempts.AttemptBook) {
     this.#context = context;
     this.#owner = owner;
     this.#attempts = attemptBook;
--- a/packages/core/src/requestManager.ts
+++ b/packages/core/src/requestManager.ts
@@ -17,7 +17,7 @@
 /** The life of each request at this daemon, from arrival to its one answer. */
 export class RequestManager {
   readonly duplicates: requestDeduplicator.RequestDeduplicator;
-  readonly #context: liveRequest.DeskContext;
+  readonly #context: liveRequest.RequestManagerContext;
   readonly #attempts: attempts.AttemptBook;
   readonly #live = new Map<string, liveRequest.LiveRequest>();
   readonly #handingOff = new Set<liveRequest.LiveRequest>();
@@ -26,7 +26,7 @@
    * @param context - the daemon round the desk
    * @param attemptBook - the attempts claimed by this daemon
    */
-  constructor(context: liveRequest.DeskContext, attemptBook: attempts.AttemptBook) {
+  constructor(context: liveRequest.RequestManagerContext, attemptBook: attempts.AttemptBook) {
     this.#context = context;
     this.#attempts = attemptBook;
     const owner: requestDeduplicator.RequestOperations = {
