--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -57,7 +57,7 @@
   readonly roster: membership.Roster;
   readonly shards = new leases.ShardLeases();
   readonly orderDesk: orderDesk.OrderDesk;
-  readonly requestDesk: requestManager.RequestManager;
+  readonly requestManager: requestManager.RequestManager;
   readonly #store = new controlStore.ControlStore();
   readonly #follower: controlFollower.ControlFollower;
   readonly #leaseDesk: leaseDesk.LeaseDesk;
@@ -95,7 +95,7 @@
       emit: (action: actions.Action) => this.#actions.push(action),
     };
     const limits = { answerBytes: options.answerBytes ?? DEFAULT_ANSWER_BYTES, windowMs: constants.CLAIM_WINDOW_MS };
-    this.requestDesk = new requestManager.RequestManager(context, new attempts.AttemptBook(limits));
+    this.requestManager = new requestManager.RequestManager(context, new attempts.AttemptBook(limits));
     this.orderDesk = new orderDesk.OrderDesk(context);
     this.#peerView = new peerView.PeerView(this.#pools, this.roster, this.orderDesk);
     const servingMembers = (): membership.Registration[] => this.servingMembers(this.#instant.now);
@@ -118,7 +118,7 @@
       ...context,
       servingMembers,
       onClaimAnswered: (request, verdict, standing) => {
-        this.requestDesk.duplicates.onClaimAnswered(request, verdict, standing, this.#instant.now);
+        this.requestManager.duplicates.onClaimAnswered(request, verdict, standing, this.#instant.now);
       },
     });
     this.#control = new controlEvents.ControlEvents({
@@ -265,25 +265,25 @@
         this.#claimDesk.onAnswered(event.attempt, event.verdict, event.standing);
         break;
       case events.EventType.JoinAnswered:
-        this.requestDesk.duplicates.onJoinAnswered(event, now);
+        this.requestManager.duplicates.onJoinAnswered(event, now);
         break;
       case events.EventType.JoinAsked:
-        this.requestDesk.duplicates.onJoinAsked(event);
+        this.requestManager.duplicates.onJoinAsked(event);
         break;
       case events.EventType.PrefillDone:
-        this.requestDesk.onPrefillDone(event.request, event.attempt, now);
+        this.requestManager.onPrefillDone(event.request, event.attempt, now);
         break;
       case events.EventType.FirstToken:
-        this.requestDesk.onFirstToken(event.request, event.attempt, now);
+        this.requestManager.onFirstToken(event.request, event.attempt, now);
         break;
       case events.EventType.AnswerDone:
-        this.requestDesk.onAnswerDone(event, now);
+        this.requestManager.onAnswerDone(event, now);
         break;
       case events.EventType.AttemptFailed:
-        this.requestDesk.onAttemptFailed(event.request, event.attempt, event.reach, now);
+        this.requestManager.onAttemptFailed(event.request, event.attempt, event.reach, now);
         break;
       case events.EventType.CallerGone:
-        this.requestDesk.onCallerGone(event.request, now);
+        this.requestManager.onCallerGone(event.request, now);
         break;
       case events.EventType.ClaimsAsked:
         this.#claimDesk.onAsked(event.claims);
@@ -305,7 +305,7 @@
   #onRequest(request: events.RequestDescription, now: number): void {
     const refusal = this.refusal(now);
     if (refusal) this.#actions.push({ type: actions.ActionType.Refuse, request: request.id, problem: refusal });
-    else this.requestDesk.onArrived(request, now);
+    else this.requestManager.onArrived(request, now);
   }
 
   #noticePause(now: number): void {
@@ -321,8 +321,8 @@
     if (lost.length > 0) this.#peerView.sumUp(now);
     this.#leaseDesk.renew(now);
     this.#onSlowTick(now);
-    this.requestDesk.onTick(now);
-    for (const pool of this.#pools.values()) this.requestDesk.serveQueues(now, pool);
+    this.requestManager.onTick(now);
+    for (const pool of this.#pools.values()) this.requestManager.serveQueues(now, pool);
     this.orderDesk.onTick(now);
   }
 
--- a/packages/daemon/src/adminServer.ts
+++ b/packages/daemon/src/adminServer.ts
@@ -54,7 +54,7 @@
       refuses: decisions.refusal(now)?.kind ?? null,
       peers: decisions.roster.peers().length,
       livePeers: decisions.roster.livePeers(now).length,
-      requests: decisions.requestDesk.size,
+      requests: decisions.requestManager.size,
       leases: decisions.shards.all(),
       waitingChanges: Object.fromEntries(decisions.orderDesk.waiting()),
     };
--- a/packages/daemon/src/callerServer.ts
+++ b/packages/daemon/src/callerServer.ts
@@ -187,7 +187,7 @@
     const { core: decisions } = this.#daemon;
     return this.#daemon.metrics.text({
       open_exchanges: this.#daemon.openExchanges,
-      live_requests: decisions.requestDesk.size,
+      live_requests: decisions.requestManager.size,
       applied_revision: decisions.appliedRevision,
       resident_bytes: process.memoryUsage.rss(),
       processor_microseconds: process.cpuUsage().user + process.cpuUsage().system,
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -217,7 +217,7 @@
   async drain(): Promise<void> {
     this.handle({ type: core.EventType.StopAsked });
     const leastUntil = this.clock.now() + core.constants.ADDRESS_TTL_MS + core.constants.EXCHANGE_MS;
-    while (this.clock.now() < leastUntil || this.openExchanges > 0 || this.core.requestDesk.size > 0) {
+    while (this.clock.now() < leastUntil || this.openExchanges > 0 || this.core.requestManager.size > 0) {
       await new Promise((resolve) => setTimeout(resolve, STOP_POLL_MS));
     }
   }
