--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -118,7 +118,7 @@
       ...context,
       servingMembers,
       onClaimAnswered: (request, verdict, standing) => {
-        this.requestManager.duplicates.onClaimAnswered(request, verdict, standing, this.#instant.now);
+        this.requestManager.deduplicator.onClaimAnswered(request, verdict, standing, this.#instant.now);
       },
     });
     this.#control = new controlEvents.ControlEvents({
@@ -265,10 +265,10 @@
         this.#claimDesk.onAnswered(event.attempt, event.verdict, event.standing);
         break;
       case events.EventType.JoinAnswered:
-        this.requestManager.duplicates.onJoinAnswered(event, now);
+        this.requestManager.deduplicator.onJoinAnswered(event, now);
         break;
       case events.EventType.JoinAsked:
-        this.requestManager.duplicates.onJoinAsked(event);
+        this.requestManager.deduplicator.onJoinAsked(event);
         break;
       case events.EventType.PrefillDone:
         this.requestManager.onPrefillDone(event.request, event.attempt, now);
--- a/packages/core/src/requestManager.ts
+++ b/packages/core/src/requestManager.ts
@@ -16,7 +16,7 @@
 
 /** The life of each request at this daemon, from arrival to its one answer. */
 export class RequestManager {
-  readonly duplicates: requestDeduplicator.RequestDeduplicator;
+  readonly deduplicator: requestDeduplicator.RequestDeduplicator;
   readonly #context: liveRequest.RequestManagerContext;
   readonly #attempts: attempts.AttemptBook;
   readonly #live = new Map<string, liveRequest.LiveRequest>();
@@ -43,7 +43,7 @@
         this.#note(kind, request, fields);
       },
     };
-    this.duplicates = new requestDeduplicator.RequestDeduplicator(context, owner, attemptBook);
+    this.deduplicator = new requestDeduplicator.RequestDeduplicator(context, owner, attemptBook);
   }
 
   /** @returns requests that have no final answer yet */
@@ -64,7 +64,7 @@
     const request = this.#open(description, pool, now);
     this.#note(timeline.EventKind.RequestArrived, request, { service: description.service });
     pool.onArrived(request.work, now);
-    if (description.key !== undefined && !request.idempotent) this.duplicates.begin(request, description.key, now);
+    if (description.key !== undefined && !request.idempotent) this.deduplicator.begin(request, description.key, now);
     else this.#admit(request, now);
   }
 
@@ -114,7 +114,7 @@
     this.#live.delete(event.request);
     if (request.record) {
       const state = event.answer ? attempts.AttemptState.Answered : attempts.AttemptState.NotKept;
-      this.duplicates.settle(request.record, state, now, event.answer);
+      this.deduplicator.settle(request.record, state, now, event.answer);
     }
     this.serveQueues(now, request.pool);
   }
@@ -359,7 +359,7 @@
     const { record } = request;
     if (!record || record.settledAt !== undefined) return;
     const notRun = problem.outcome === common.Outcome.NotRun;
-    this.duplicates.settle(record, notRun ? attempts.AttemptState.NotRun : attempts.AttemptState.Unknown, now);
+    this.deduplicator.settle(record, notRun ? attempts.AttemptState.NotRun : attempts.AttemptState.Unknown, now);
   }
 
   #learn(request: liveRequest.LiveRequest, outputTokens: number, now: number): void {
