--- a/packages/core/src/attempts.ts
+++ b/packages/core/src/attempts.ts
@@ -56,7 +56,7 @@
  * one loop on one thread decides. An attempt is set running at most once
  * unless it ended without having been dispatched.
  */
-export class AttemptBook {
+export class AttemptTable {
   readonly #limits: AttemptLimits;
   readonly #records = new Map<string, AttemptRecord>();
   #keptBytes = 0;
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -95,7 +95,7 @@
       emit: (action: actions.Action) => this.#actions.push(action),
     };
     const limits = { answerBytes: options.answerBytes ?? DEFAULT_ANSWER_BYTES, windowMs: constants.CLAIM_WINDOW_MS };
-    this.requestManager = new requestManager.RequestManager(context, new attempts.AttemptBook(limits));
+    this.requestManager = new requestManager.RequestManager(context, new attempts.AttemptTable(limits));
     this.orderDesk = new orderDesk.OrderDesk(context);
     this.#peerView = new peerView.PeerView(this.#pools, this.roster, this.orderDesk);
     const servingMembers = (): membership.Registration[] => this.servingMembers(this.#instant.now);
--- a/packages/core/src/requestDeduplicator.ts
+++ b/packages/core/src/requestDeduplicator.ts
@@ -26,7 +26,7 @@
 export class RequestDeduplicator {
   readonly #context: liveRequest.RequestManagerContext;
   readonly #owner: RequestOperations;
-  readonly #attempts: attempts.AttemptBook;
+  readonly #attempts: attempts.AttemptTable;
   readonly #joinersByKey = new Map<string, Set<string>>();
   readonly #remoteJoinsByKey = new Map<string, Set<string>>();
 
@@ -35,7 +35,11 @@
    * @param owner - runs requests
    * @param attemptBook - the attempts claimed by this daemon
    */
-  constructor(context: liveRequest.RequestManagerContext, owner: RequestOperations, attemptBook: attempts.AttemptBook) {
+  constructor(
+    context: liveRequest.RequestManagerContext,
+    owner: RequestOperations,
+    attemptBook: attempts.AttemptTable,
+  ) {
     this.#context = context;
     this.#owner = owner;
     this.#attempts = attemptBook;
--- a/packages/core/src/requestManager.ts
+++ b/packages/core/src/requestManager.ts
@@ -18,7 +18,7 @@
 export class RequestManager {
   readonly deduplicator: requestDeduplicator.RequestDeduplicator;
   readonly #context: liveRequest.RequestManagerContext;
-  readonly #attempts: attempts.AttemptBook;
+  readonly #attempts: attempts.AttemptTable;
   readonly #live = new Map<string, liveRequest.LiveRequest>();
   readonly #handingOff = new Set<liveRequest.LiveRequest>();
 
@@ -26,7 +26,7 @@
    * @param context - the daemon round the desk
    * @param attemptBook - the attempts claimed by this daemon
    */
-  constructor(context: liveRequest.RequestManagerContext, attemptBook: attempts.AttemptBook) {
+  constructor(context: liveRequest.RequestManagerContext, attemptBook: attempts.AttemptTable) {
     this.#context = context;
     this.#attempts = attemptBook;
     const owner: requestDeduplicator.RequestOperations = {
