--- a/packages/core/src/attempts.ts
+++ b/packages/core/src/attempts.ts
@@ -8,7 +8,7 @@
 /** Where the one attempt of an idempotency key stands. */
 export enum AttemptState {
   /** The claim or a former claimant's answer is awaited. */
-  Seeking = "seeking",
+  Pending = "seeking",
   Running = "running",
   Answered = "answered",
   /** Given up before anything was dispatched; may be run under the same claim. */
@@ -86,7 +86,7 @@
    * @returns the new record, seeking its claim
    */
   begin(key: string, digest: string, attempt: string): AttemptRecord {
-    const record: AttemptRecord = { key, digest, attempt, state: AttemptState.Seeking, claimed: false };
+    const record: AttemptRecord = { key, digest, attempt, state: AttemptState.Pending, claimed: false };
     this.#records.set(key, record);
     return record;
   }
--- a/packages/core/src/requestDeduplicator.ts
+++ b/packages/core/src/requestDeduplicator.ts
@@ -186,7 +186,7 @@
       this.#owner.admit(request, now);
       return;
     }
-    record.state = attempts.AttemptState.Seeking;
+    record.state = attempts.AttemptState.Pending;
     delete record.settledAt;
     this.#requestClaim(request, record);
   }
