--- a/packages/core/src/events.ts
+++ b/packages/core/src/events.ts
@@ -37,7 +37,7 @@
 }
 
 /** How far a failed attempt can have got. */
-export enum Reach {
+export enum SendOutcome {
   /** No byte of it left this process. */
   NeverSent = "never-sent",
   /** The endpoint says itself that it did not run. */
@@ -136,7 +136,7 @@
       readonly type: EventType.AttemptFailed;
       readonly request: string;
       readonly attempt: string;
-      readonly reach: Reach;
+      readonly reach: SendOutcome;
     }
   | { readonly type: EventType.CallerGone; readonly request: string }
   | { readonly type: EventType.ClaimsAsked; readonly claims: readonly claims.Claim[] }
--- a/packages/core/src/requestManager.ts
+++ b/packages/core/src/requestManager.ts
@@ -125,14 +125,14 @@
    * @param reach - how far it can have got
    * @param now - current time
    */
-  onAttemptFailed(id: string, attempt: string, reach: events.Reach, now: number): void {
+  onAttemptFailed(id: string, attempt: string, reach: events.SendOutcome, now: number): void {
     const request = this.#current(id, attempt);
     if (!request) return;
     request.endpoint?.onEnded(id, now);
-    request.endpoint?.onFailure(now, reach !== events.Reach.NeverSent);
+    request.endpoint?.onFailure(now, reach !== events.SendOutcome.NeverSent);
     if (request.endpoint) request.work = avoiding(request.work, request.endpoint.id);
     delete request.endpoint;
-    const ran = reach === events.Reach.MayHaveRun;
+    const ran = reach === events.SendOutcome.MayHaveRun;
     if (request.abandoned) this.#live.delete(id);
     else if (ran && !request.idempotent) this.#giveUp(request, common.Outcome.Unknown, now);
     else if (this.#mayRetry(request, now)) this.#retry(request, now);
