--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -280,7 +280,7 @@
         this.requestManager.onAnswerDone(event, now);
         break;
       case events.EventType.AttemptFailed:
-        this.requestManager.onAttemptFailed(event.request, event.attempt, event.reach, now);
+        this.requestManager.onAttemptFailed(event.request, event.attempt, event.outcome, now);
         break;
       case events.EventType.CallerGone:
         this.requestManager.onCallerGone(event.request, now);
--- a/packages/core/src/events.ts
+++ b/packages/core/src/events.ts
@@ -136,7 +136,7 @@
       readonly type: EventType.AttemptFailed;
       readonly request: string;
       readonly attempt: string;
-      readonly reach: SendOutcome;
+      readonly outcome: SendOutcome;
     }
   | { readonly type: EventType.CallerGone; readonly request: string }
   | { readonly type: EventType.ClaimsAsked; readonly claims: readonly claims.Claim[] }
--- a/packages/core/tests/helpers/fakeEndpoints.ts
+++ b/packages/core/tests/helpers/fakeEndpoints.ts
@@ -58,7 +58,7 @@
     onSent();
     this.#round.afterCall(() => {
       if (draw < this.#round.faults.endpointRefuses) {
-        reply({ type: core.EventType.AttemptFailed, request, attempt, reach: core.SendOutcome.NotRun });
+        reply({ type: core.EventType.AttemptFailed, request, attempt, outcome: core.SendOutcome.NotRun });
         return;
       }
       this.executions.push({ endpoint, request, key: this.#keys.get(request) ?? "", attempt });
@@ -67,7 +67,7 @@
       this.#round.time.after(this.#round.callMs() * RUN_CALLS, () => {
         here.delete(request);
         if (draw > 1 - this.#round.faults.endpointLost) {
-          reply({ type: core.EventType.AttemptFailed, request, attempt, reach: core.SendOutcome.MayHaveRun });
+          reply({ type: core.EventType.AttemptFailed, request, attempt, outcome: core.SendOutcome.MayHaveRun });
           return;
         }
         const answer = { status: 200, contentType: "text/plain", body: Buffer.from(attempt) };
--- a/packages/daemon/src/dispatcher.ts
+++ b/packages/daemon/src/dispatcher.ts
@@ -173,7 +173,12 @@
 
   #failed(action: core.DispatchAction, reach: core.SendOutcome): void {
     this.#metrics.count(`attempts_failed_${reach.replaceAll("-", "_")}_total`);
-    this.#sink({ type: core.EventType.AttemptFailed, request: action.request, attempt: action.attempt, reach });
+    this.#sink({
+      type: core.EventType.AttemptFailed,
+      request: action.request,
+      attempt: action.attempt,
+      outcome: reach,
+    });
   }
 }
 
--- a/packages/measure/src/coreRouter.ts
+++ b/packages/measure/src/coreRouter.ts
@@ -189,7 +189,12 @@
         this.#handle(target, { type: core.EventType.AnswerDone, request, attempt, outputTokens });
       },
       onRefused: () => {
-        this.#handle(target, { type: core.EventType.AttemptFailed, request, attempt, reach: core.SendOutcome.NotRun });
+        this.#handle(target, {
+          type: core.EventType.AttemptFailed,
+          request,
+          attempt,
+          outcome: core.SendOutcome.NotRun,
+        });
       },
     });
   }
