--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -282,7 +282,7 @@
       case events.EventType.AttemptFailed:
         this.requestManager.onAttemptFailed(event.request, event.attempt, event.outcome, now);
         break;
-      case events.EventType.CallerGone:
+      case events.EventType.CallerDisconnected:
         this.requestManager.onCallerGone(event.request, now);
         break;
       case events.EventType.ClaimsAsked:
--- a/packages/core/src/events.ts
+++ b/packages/core/src/events.ts
@@ -15,7 +15,7 @@
   FirstToken = "first-token",
   AnswerDone = "answer-done",
   AttemptFailed = "attempt-failed",
-  CallerGone = "caller-gone",
+  CallerDisconnected = "caller-gone",
   ClaimsAsked = "claims-asked",
   ControlSnapshot = "control-snapshot",
   ControlChanges = "control-changes",
@@ -138,7 +138,7 @@
       readonly attempt: string;
       readonly outcome: SendOutcome;
     }
-  | { readonly type: EventType.CallerGone; readonly request: string }
+  | { readonly type: EventType.CallerDisconnected; readonly request: string }
   | { readonly type: EventType.ClaimsAsked; readonly claims: readonly claims.Claim[] }
   | {
       readonly type: EventType.ControlSnapshot;
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -150,7 +150,7 @@
   /** @param request - whose caller has closed its connection */
   onCallerGone(request: string): void {
     this.#exchanges.delete(request);
-    this.handle({ type: core.EventType.CallerGone, request });
+    this.handle({ type: core.EventType.CallerDisconnected, request });
   }
 
   /**
