--- a/packages/core/src/controlEvents.ts
+++ b/packages/core/src/controlEvents.ts
@@ -72,7 +72,7 @@
       case events.EventType.KeysRead:
         this.#onKeysRead(event.token, event.records, now);
         break;
-      case events.EventType.PeerHeard:
+      case events.EventType.PeerReported:
         this.#onPeerHeard(event.report, now);
         break;
       case events.EventType.VmsListed:
--- a/packages/core/src/events.ts
+++ b/packages/core/src/events.ts
@@ -25,7 +25,7 @@
   LeaseLost = "lease-lost",
   Transacted = "transacted",
   KeysRead = "keys-read",
-  PeerHeard = "peer-heard",
+  PeerReported = "peer-heard",
   VmsListed = "vms-listed",
   LoadReported = "load-reported",
   OrderAnswered = "order-answered",
@@ -157,7 +157,7 @@
   | { readonly type: EventType.LeaseLost }
   | { readonly type: EventType.Transacted; readonly token: string; readonly result: keyValue.TransactionResult }
   | { readonly type: EventType.KeysRead; readonly token: string; readonly records?: readonly keyValue.KeyRecord[] }
-  | { readonly type: EventType.PeerHeard; readonly report: membership.PeerReport }
+  | { readonly type: EventType.PeerReported; readonly report: membership.PeerReport }
   | { readonly type: EventType.VmsListed; readonly vms: ReadonlyMap<string, membership.VmState> }
   | { readonly type: EventType.LoadReported; readonly report: LoadReport }
   | {
--- a/packages/core/tests/helpers/coreHarness.ts
+++ b/packages/core/tests/helpers/coreHarness.ts
@@ -227,7 +227,7 @@
     for (const other of this.#nodes.keys()) {
       if (other === vm) continue;
       this.#round.afterCall(() => {
-        this.#deliver(other, { type: core.EventType.PeerHeard, report });
+        this.#deliver(other, { type: core.EventType.PeerReported, report });
       });
     }
     this.#deliver(vm, { type: core.EventType.VmsListed, vms: this.vmStates });
--- a/packages/daemon/src/peerCalls.ts
+++ b/packages/daemon/src/peerCalls.ts
@@ -45,7 +45,7 @@
   /** @param message - a peer's heartbeat */
   onHeartbeat(message: protocol.ExchangeRequest): void {
     this.#hybrid.observe(messages.stampOf(message));
-    this.#sink({ type: core.EventType.PeerHeard, report: messages.heartbeatFromWire(message) });
+    this.#sink({ type: core.EventType.PeerReported, report: messages.heartbeatFromWire(message) });
   }
 
   /** Exchanges heartbeats with the peers whose turn it is not to begin. */
