--- a/packages/core/src/controlEvents.ts
+++ b/packages/core/src/controlEvents.ts
@@ -52,7 +52,7 @@
         this.#parts.follower.apply(event.records, now);
         if (event.completeRevision !== undefined) this.#parts.store.completeUpTo(event.completeRevision);
         break;
-      case events.EventType.KeyValueHeard:
+      case events.EventType.KeyValueResponded:
         this.#onKeyValueHeard(event.revision, now);
         break;
       case events.EventType.KeyValueFailed:
--- a/packages/core/src/events.ts
+++ b/packages/core/src/events.ts
@@ -19,7 +19,7 @@
   ClaimsAsked = "claims-asked",
   ControlSnapshot = "control-snapshot",
   ControlChanges = "control-changes",
-  KeyValueHeard = "key-value-heard",
+  KeyValueResponded = "key-value-heard",
   KeyValueFailed = "key-value-failed",
   LeaseRenewed = "lease-renewed",
   LeaseLost = "lease-lost",
@@ -151,7 +151,7 @@
       /** Set when these are all changes up to this revision. */
       readonly completeRevision?: number;
     }
-  | { readonly type: EventType.KeyValueHeard; readonly revision: number }
+  | { readonly type: EventType.KeyValueResponded; readonly revision: number }
   | { readonly type: EventType.KeyValueFailed }
   | { readonly type: EventType.LeaseRenewed; readonly lease: string; readonly sentAt: number; readonly ttlMs: number }
   | { readonly type: EventType.LeaseLost }
--- a/packages/core/tests/helpers/coreHarness.ts
+++ b/packages/core/tests/helpers/coreHarness.ts
@@ -239,7 +239,7 @@
         report: { endpoint: endpoint.id, running, waiting: 0, role },
       });
     }
-    if (!this.#control.down) this.#deliver(vm, { type: core.EventType.KeyValueHeard, revision: 0 });
+    if (!this.#control.down) this.#deliver(vm, { type: core.EventType.KeyValueResponded, revision: 0 });
   }
 
   #tellWatch(vm: string, events: standIns.StoreEvent[]): void {
--- a/packages/daemon/src/keyValueShell.ts
+++ b/packages/daemon/src/keyValueShell.ts
@@ -156,7 +156,7 @@
       this.#sink({ type: core.EventType.ControlChanges, records: reply.entries, completeRevision: reply.revision });
     }
     seen.revision = Math.max(seen.revision, reply.revision);
-    this.#sink({ type: core.EventType.KeyValueHeard, revision: reply.revision });
+    this.#sink({ type: core.EventType.KeyValueResponded, revision: reply.revision });
   }
 
   #renewed(lease: string, sentAt: number, ttlMs: number): void {
--- a/packages/measure/src/coreRouter.ts
+++ b/packages/measure/src/coreRouter.ts
@@ -289,7 +289,7 @@
         : { ...report, shares: report.shares.map(withoutUse), services: report.services.map(withoutWaiting) };
       this.#handle(other, { type: core.EventType.PeerReported, report: told });
     }
-    if (!this.#keyValueDown) this.#handle(target, { type: core.EventType.KeyValueHeard, revision: 0 });
+    if (!this.#keyValueDown) this.#handle(target, { type: core.EventType.KeyValueResponded, revision: 0 });
     for (let engine = 0; engine < this.#fleet.size; engine++) this.#report(target, engine);
   }
 
