--- a/packages/core/src/admission.ts
+++ b/packages/core/src/admission.ts
@@ -132,7 +132,7 @@
    * @param now - current time
    * @returns requests that can no longer be in time, taken out of the queue
    */
-  takeHopeless(now: number): QueuedRequest[] {
+  takeInfeasible(now: number): QueuedRequest[] {
     const hopeless = this.#queue.filter((request) => now + request.serviceMs > request.deadline);
     if (hopeless.length > 0) this.#queue = this.#queue.filter((request) => !hopeless.includes(request));
     return hopeless;
--- a/packages/core/src/requestManager.ts
+++ b/packages/core/src/requestManager.ts
@@ -169,7 +169,7 @@
    */
   serveQueues(now: number, pool: servicePool.ServicePool): void {
     this.#serveHandoffs(pool, now);
-    for (const hopeless of pool.queue.takeHopeless(now)) this.#refuseLate(hopeless.id, now);
+    for (const hopeless of pool.queue.takeInfeasible(now)) this.#refuseLate(hopeless.id, now);
     for (;;) {
       const next = pool.queue.first;
       const request = next && this.#live.get(next.id);
--- a/packages/core/tests/policy.test.ts
+++ b/packages/core/tests/policy.test.ts
@@ -92,8 +92,8 @@
 admissionSuite("a request that waited too long is taken out before its deadline", () => {
   const queue = new core.AdmissionQueue();
   queue.add(queued("waits", { deadline: 1000, serviceMs: 400 }));
-  assert.equal(queue.takeHopeless(600), []);
-  assert.is(queue.takeHopeless(601)[0]?.id, "waits");
+  assert.equal(queue.takeInfeasible(600), []);
+  assert.is(queue.takeInfeasible(601)[0]?.id, "waits");
   assert.is(queue.length, 0);
 });
 
