--- a/packages/core/src/servicePool.ts
+++ b/packages/core/src/servicePool.ts
@@ -18,7 +18,7 @@
   readonly planner: rolePlanner.PlannerSettings;
   readonly costs: engineCosts.EngineCosts;
   /** Whether a request that can't be in time is refused at once. */
-  readonly refusesLate: boolean;
+  readonly refusesInfeasible: boolean;
 }
 
 /** The settings that the replay measure found best. */
@@ -26,7 +26,7 @@
   choice: endpointChoice.CHOICE_SETTINGS,
   planner: rolePlanner.PLANNER_SETTINGS,
   costs: engineCosts.PRIOR_COSTS,
-  refusesLate: true,
+  refusesInfeasible: true,
 };
 
 const OUTPUT_LEARNING_RATE = 0.05;
@@ -62,7 +62,7 @@
   constructor(entry: configuration.ServiceEntry, random: common.SeededRandom, settings: PolicySettings) {
     this.#entry = entry;
     this.#costs = settings.costs;
-    this.refusesLate = settings.refusesLate;
+    this.refusesLate = settings.refusesInfeasible;
     this.#choice = new endpointChoice.EndpointChoice(random, settings.choice);
     this.planner = new rolePlanner.RolePlanner(settings.planner);
   }
