--- a/packages/core/src/requestManager.ts
+++ b/packages/core/src/requestManager.ts
@@ -239,7 +239,7 @@
       const retryAfterMs = Math.max(MODEL_RETRY_MS, estimate.finishMs);
       return common.problem(common.ProblemKind.Overloaded, `${concurrent} requests wait already`, { retryAfterMs });
     }
-    if (estimate.feasible || !pool.refusesLate) return undefined;
+    if (estimate.feasible || !pool.refusesInfeasible) return undefined;
     const detail = `would take ${Math.round(estimate.finishMs)} ms, ${Math.round(request.deadline - now)} ms are left`;
     return common.problem(common.ProblemKind.DeadlineUnreachable, detail, { retryAfterMs: estimate.retryAfterMs });
   }
--- a/packages/core/src/servicePool.ts
+++ b/packages/core/src/servicePool.ts
@@ -40,7 +40,7 @@
   readonly queue = new admission.AdmissionQueue();
   readonly retries = new retryBudget.RetryBudget();
   readonly planner: rolePlanner.RolePlanner;
-  readonly refusesLate: boolean;
+  readonly refusesInfeasible: boolean;
   readonly #choice: endpointChoice.EndpointChoice;
   readonly #costs: engineCosts.EngineCosts;
   readonly #endpoints = new Map<string, model.EndpointModel>();
@@ -62,7 +62,7 @@
   constructor(entry: configuration.ServiceEntry, random: common.SeededRandom, settings: PolicySettings) {
     this.#entry = entry;
     this.#costs = settings.costs;
-    this.refusesLate = settings.refusesInfeasible;
+    this.refusesInfeasible = settings.refusesInfeasible;
     this.#choice = new endpointChoice.EndpointChoice(random, settings.choice);
     this.planner = new rolePlanner.RolePlanner(settings.planner);
   }
