--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -365,6 +365,6 @@
   }
 }
 
-function resumedWork(now: number): Omit<endpointModel.Outstanding, "aheadTokens"> {
+function resumedWork(now: number): Omit<endpointModel.OutstandingRequest, "aheadTokens"> {
   return { part: endpointModel.RequestPart.Decode, promptTokens: 0, outputTokens: 0, dispatchedAt: now };
 }
--- a/packages/core/src/endpointModel.ts
+++ b/packages/core/src/endpointModel.ts
@@ -13,7 +13,7 @@
 }
 
 /** What this daemon has at an endpoint for one request. */
-export interface Outstanding {
+export interface OutstandingRequest {
   readonly part: RequestPart;
   readonly promptTokens: number;
   readonly outputTokens: number;
@@ -43,7 +43,7 @@
   readonly id: string;
   readonly dataCentre: string;
   readonly #costs: engineCosts.EngineCosts;
-  readonly #outstanding = new Map<string, Outstanding>();
+  readonly #outstanding = new Map<string, OutstandingRequest>();
   readonly #prefixes = new Map<string, number>();
   #backlogTokens = 0;
   #backlogAt = 0;
@@ -158,7 +158,7 @@
    * @param request - id of the request
    * @param entry - what is dispatched
    */
-  onDispatched(request: string, entry: Omit<Outstanding, "aheadTokens">): void {
+  onDispatched(request: string, entry: Omit<OutstandingRequest, "aheadTokens">): void {
     this.#outstanding.set(request, { ...entry, aheadTokens: this.waitingTokens(entry.dispatchedAt) });
     if (entry.part !== RequestPart.Decode) {
       this.#backlogTokens = this.ownWaitingTokens(entry.dispatchedAt) + entry.promptTokens;
@@ -278,14 +278,14 @@
     return this.waitingTokens(now) > 0 ? 1 : 0.3;
   }
 
-  #learnPrefill(entry: Outstanding, tookMs: number): void {
+  #learnPrefill(entry: OutstandingRequest, tookMs: number): void {
     const tokens = entry.aheadTokens + entry.promptTokens;
     const unscaled = (tokens * this.prefillTokenMs()) / this.#prefillSpeed.factor;
     // Whatever its length, a prompt waits for the step under way and takes one itself.
     this.#prefillSpeed.learn(unscaled + 2 * this.#costs.stepBaseMs, tookMs);
   }
 
-  #learnDecode(entry: Outstanding, outputTokens: number, now: number): void {
+  #learnDecode(entry: OutstandingRequest, outputTokens: number, now: number): void {
     if (entry.firstTokenAt === undefined || outputTokens < 2) return;
     const streams = Math.min(this.streams + 1, Math.max(1, this.slots));
     const predicted = (outputTokens - 1) * this.#stepMs(streams, this.#prefillBusyShare(now));
