--- a/packages/core/src/endpointModel.ts
+++ b/packages/core/src/endpointModel.ts
@@ -24,7 +24,7 @@
 }
 
 /** Use of an endpoint by the other daemons, as their heartbeats tell. */
-export interface PeerUse {
+export interface PeerLoad {
   readonly inFlight: number;
   readonly prefillTokens: number;
   readonly streams: number;
@@ -48,7 +48,7 @@
   #backlogTokens = 0;
   #backlogAt = 0;
   #streams = 0;
-  #peers: PeerUse = { inFlight: 0, prefillTokens: 0, streams: 0 };
+  #peers: PeerLoad = { inFlight: 0, prefillTokens: 0, streams: 0 };
   #peersAt = 0;
   readonly #prefillSpeed = new speedFactor.SpeedFactor();
   readonly #decodeSpeed = new speedFactor.SpeedFactor();
@@ -223,7 +223,7 @@
    * @param use - what the peers have at the endpoint
    * @param now - current time
    */
-  onPeerUse(use: PeerUse, now: number): void {
+  onPeerUse(use: PeerLoad, now: number): void {
     this.#peers = use;
     this.#peersAt = now;
   }
