--- a/packages/core/src/endpointModel.ts
+++ b/packages/core/src/endpointModel.ts
@@ -223,7 +223,7 @@
    * @param use - what the peers have at the endpoint
    * @param now - current time
    */
-  onPeerUse(use: PeerLoad, now: number): void {
+  onPeerLoad(use: PeerLoad, now: number): void {
     this.#peers = use;
     this.#peersAt = now;
   }
--- a/packages/core/src/peerView.ts
+++ b/packages/core/src/peerView.ts
@@ -105,7 +105,7 @@
     }
     for (const [id, pool] of this.#pools) {
       pool.onPeerQueues(queues.get(id) ?? NOTHING_WAITS, serving.get(id) ?? 0);
-      for (const endpoint of pool.endpoints) endpoint.onPeerUse(uses.get(endpoint.id) ?? NO_USE, now);
+      for (const endpoint of pool.endpoints) endpoint.onPeerLoad(uses.get(endpoint.id) ?? NO_USE, now);
     }
   }
 }
