--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -322,7 +322,7 @@
     this.#leaseDesk.renew(now);
     this.#onSlowTick(now);
     this.requestManager.onTick(now);
-    for (const pool of this.#pools.values()) this.requestManager.serveQueues(now, pool);
+    for (const pool of this.#pools.values()) this.requestManager.dispatchQueued(now, pool);
     this.orderDesk.onTick(now);
   }
 
--- a/packages/core/src/requestManager.ts
+++ b/packages/core/src/requestManager.ts
@@ -81,7 +81,7 @@
     request.handoff = { url: this.#context.urlOf(request.endpoint?.id ?? "") ?? "", attempt };
     request.phase = liveRequest.RequestPhase.HandingOff;
     this.#handingOff.add(request);
-    this.serveQueues(now, request.pool);
+    this.dispatchQueued(now, request.pool);
   }
 
   /**
@@ -94,7 +94,7 @@
     if (request?.phase !== liveRequest.RequestPhase.Answering) return;
     request.firstTokenSeen = true;
     request.endpoint?.onFirstToken(id, now);
-    this.serveQueues(now, request.pool);
+    this.dispatchQueued(now, request.pool);
   }
 
   /**
@@ -116,7 +116,7 @@
       const state = event.answer ? attempts.AttemptState.Answered : attempts.AttemptState.NotKept;
       this.deduplicator.settle(request.record, state, now, event.answer);
     }
-    this.serveQueues(now, request.pool);
+    this.dispatchQueued(now, request.pool);
   }
 
   /**
@@ -137,7 +137,7 @@
     else if (ran && !request.idempotent) this.#giveUp(request, common.Outcome.Unknown, now);
     else if (this.#mayRetry(request, now)) this.#retry(request, now);
     else this.#giveUp(request, ran ? common.Outcome.Unknown : common.Outcome.NotRun, now);
-    this.serveQueues(now, request.pool);
+    this.dispatchQueued(now, request.pool);
   }
 
   /**
@@ -158,7 +158,7 @@
     this.#handingOff.delete(request);
     this.#cancel(request, now);
     this.#live.delete(id);
-    this.serveQueues(now, request.pool);
+    this.dispatchQueued(now, request.pool);
   }
 
   /**
@@ -167,7 +167,7 @@
    * @param now - current time
    * @param pool - the service
    */
-  serveQueues(now: number, pool: servicePool.ServicePool): void {
+  dispatchQueued(now: number, pool: servicePool.ServicePool): void {
     this.#serveHandoffs(pool, now);
     for (const hopeless of pool.queue.takeInfeasible(now)) this.#refuseLate(hopeless.id, now);
     for (;;) {
