--- a/packages/core/src/requestManager.ts
+++ b/packages/core/src/requestManager.ts
@@ -315,7 +315,7 @@
   #mayRetry(request: liveRequest.LiveRequest, now: number): boolean {
     if (request.attemptCount >= constants.MAXIMUM_ATTEMPTS * (request.handoff ? 2 : 1)) return false;
     if (now + request.pool.serviceMs(request.work, now) > request.deadline) return false;
-    return request.pool.retries.spend();
+    return request.pool.retryBudget.spend();
   }
 
   #retry(request: liveRequest.LiveRequest, now: number): void {
--- a/packages/core/src/servicePool.ts
+++ b/packages/core/src/servicePool.ts
@@ -38,7 +38,7 @@
 /** One service at one daemon: its endpoints, its queue, and what was learned of its requests. */
 export class ServicePool {
   readonly queue = new admission.AdmissionQueue();
-  readonly retries = new retryBudget.RetryBudget();
+  readonly retryBudget = new retryBudget.RetryBudget();
   readonly planner: rolePlanner.RolePlanner;
   readonly refusesInfeasible: boolean;
   readonly #choice: endpointChoice.EndpointChoice;
@@ -148,7 +148,7 @@
     const demand = this.demandOf(work);
     this.#arrived = engineCosts.sumOf(this.#arrived, demand);
     this.#requests++;
-    this.retries.earn();
+    this.retryBudget.earn();
     this.planner.onRequests(demand, 1, now);
   }
 
