--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -182,7 +182,7 @@
    * @param now - current time
    * @returns whether the order may still go out
    */
-  mayOrder(shard: string, epoch: number, now: number): boolean {
+  maySendOrder(shard: string, epoch: number, now: number): boolean {
     return this.#leaseDesk.isValid(now) && this.shards.epochOf(shard, this.registration.incarnation) === epoch;
   }
 
--- a/packages/core/tests/helpers/fakeEngineOrders.ts
+++ b/packages/core/tests/helpers/fakeEngineOrders.ts
@@ -41,7 +41,7 @@
     const { time, random } = this.#round;
     this.#round.afterCall(() => {
       if (!node.alive || node.pausedUntil > time.now) return;
-      if (!node.core.mayOrder(shard, epoch, time.now)) {
+      if (!node.core.maySendOrder(shard, epoch, time.now)) {
         reply({ type: core.EventType.OrderAnswered, endpoint, number, outcome: core.OrderOutcome.NotSent });
         return;
       }
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -312,7 +312,7 @@
 
   async #sendOrder(action: core.SendOrderAction): Promise<void> {
     const { endpoint, url, shard, epoch, number, role } = action;
-    const mayStillSend = (): boolean => this.core.mayOrder(shard, epoch, this.clock.now());
+    const mayStillSend = (): boolean => this.core.maySendOrder(shard, epoch, this.clock.now());
     const reply = await this.#orders.send({ url, number, epoch, role }, mayStillSend);
     const outcomes: Record<endpoints.OrderReply, core.OrderOutcome> = {
       [endpoints.OrderReply.Confirmed]: core.OrderOutcome.Confirmed,
