--- a/packages/core/tests/helpers/actionCarrier.ts
+++ b/packages/core/tests/helpers/actionCarrier.ts
@@ -3,17 +3,17 @@
 import type * as fakeEndpoints from "./fakeEndpoints.js";
 import type * as fakeEngineOrders from "./fakeEngineOrders.js";
 import * as peerQuestions from "./peerQuestions.js";
-import type * as surroundings from "./surroundings.js";
+import type * as simulations from "./simulation.js";
 
 /** What actions are carried out on. */
 export interface CarrierParts {
-  readonly round: surroundings.Surroundings;
+  readonly round: simulations.Surroundings;
   readonly control: fakeControlStores.FakeControlStore;
   readonly endpoints: fakeEndpoints.FakeEndpoints;
   readonly engines: fakeEngineOrders.FakeEngineOrders;
-  readonly nodeOf: (vm: string) => surroundings.Node | undefined;
+  readonly nodeOf: (vm: string) => simulations.Node | undefined;
   /** Hands a process an event, even if another runs on its VM by now. */
-  readonly handle: (vm: string, node: surroundings.Node, event: core.CoreEvent) => void;
+  readonly handle: (vm: string, node: simulations.Node, event: core.CoreEvent) => void;
   readonly onDispatched: (vm: string, action: core.DispatchAction) => void;
 }
 
@@ -35,8 +35,8 @@
    * @param node - the process
    * @param action - what it wants done
    */
-  carryOut(vm: string, node: surroundings.Node, action: core.Action): void {
-    const reply: surroundings.Reply = (event) => {
+  carryOut(vm: string, node: simulations.Node, action: core.Action): void {
+    const reply: simulations.Reply = (event) => {
       this.#parts.round.afterCall(() => {
         this.#parts.handle(vm, node, event);
       });
@@ -91,7 +91,7 @@
     }
   }
 
-  #askDepose(action: Extract<core.Action, { type: core.ActionType.AskDepose }>, reply: surroundings.Reply): void {
+  #askDepose(action: Extract<core.Action, { type: core.ActionType.AskDepose }>, reply: simulations.Reply): void {
     const { vm, shard, epoch } = action;
     this.#parts.round.afterCall(() => {
       const node = this.#parts.nodeOf(vm);
--- a/packages/core/tests/helpers/coreHarness.ts
+++ b/packages/core/tests/helpers/coreHarness.ts
@@ -5,7 +5,7 @@
 import * as fakeControlStores from "./fakeControlStore.js";
 import * as fakeEndpoints from "./fakeEndpoints.js";
 import * as fakeEngineOrders from "./fakeEngineOrders.js";
-import * as surroundings from "./surroundings.js";
+import * as simulations from "./simulation.js";
 import * as virtualTimes from "./virtualTime.js";
 
 const TICK_MS = 50;
@@ -19,12 +19,12 @@
   readonly vmStates = new Map<string, core.VmState>();
   onDispatched: (vm: string, action: core.DispatchAction) => void = () => undefined;
   readonly #time = new virtualTimes.VirtualTime();
-  readonly #round: surroundings.Surroundings;
+  readonly #round: simulations.Surroundings;
   readonly #control: fakeControlStores.FakeControlStore;
   readonly #endpoints: fakeEndpoints.FakeEndpoints;
   readonly #engines: fakeEngineOrders.FakeEngineOrders;
   readonly #carrier: actionCarriers.ActionCarrier;
-  readonly #nodes = new Map<string, surroundings.Node>();
+  readonly #nodes = new Map<string, simulations.Node>();
   readonly #lingerMs: number;
 
   /**
@@ -34,7 +34,7 @@
   constructor(seed: number, lingerMs = 60_000) {
     this.random = new common.SeededRandom(seed);
     this.#lingerMs = lingerMs;
-    this.#round = new surroundings.Surroundings(this.#time, this.random);
+    this.#round = new simulations.Surroundings(this.#time, this.random);
     this.#control = new fakeControlStores.FakeControlStore(this.#round);
     this.#endpoints = new fakeEndpoints.FakeEndpoints(this.#round);
     this.#engines = new fakeEngineOrders.FakeEngineOrders(this.#round);
@@ -95,11 +95,11 @@
   }
 
   /** @returns the faults that happen */
-  get faults(): surroundings.FaultRates {
+  get faults(): simulations.FaultRates {
     return this.#round.faults;
   }
 
-  set faults(faults: surroundings.FaultRates) {
+  set faults(faults: simulations.FaultRates) {
     this.#round.faults = faults;
   }
 
@@ -133,7 +133,7 @@
       leaving: false,
     };
     const started = new core.Core({ registration, seed: this.random.integer(1e9), lingerMs: this.#lingerMs });
-    const node: surroundings.Node = { core: started, alive: true, pausedUntil: 0, lastWatchAt: 0, orderTokens: [] };
+    const node: simulations.Node = { core: started, alive: true, pausedUntil: 0, lastWatchAt: 0, orderTokens: [] };
     this.#nodes.set(vm, node);
     this.#readAll(vm, node);
     this.#whileAlive(node, TICK_MS, () => {
@@ -209,7 +209,7 @@
   }
 
   /** A paused process handles what came meanwhile when it goes on. */
-  #handle(vm: string, node: surroundings.Node, event: core.CoreEvent): void {
+  #handle(vm: string, node: simulations.Node, event: core.CoreEvent): void {
     if (!node.alive) return;
     if (node.pausedUntil > this.now) {
       this.after(node.pausedUntil - this.now + 1, () => {
@@ -221,7 +221,7 @@
     for (const action of actions) this.#carrier.carryOut(vm, node, action);
   }
 
-  #exchange(vm: string, node: surroundings.Node): void {
+  #exchange(vm: string, node: simulations.Node): void {
     if (node.pausedUntil > this.now) return;
     const report = node.core.heartbeat(this.now);
     for (const other of this.#nodes.keys()) {
@@ -255,13 +255,13 @@
     });
   }
 
-  #readAll(vm: string, node: surroundings.Node): void {
+  #readAll(vm: string, node: simulations.Node): void {
     const records = this.#control.read(core.constants.CONTROL_PREFIX);
     const { revision } = this.store;
     this.#handle(vm, node, { type: core.EventType.ControlSnapshot, records, revision });
   }
 
-  #whileAlive(node: surroundings.Node, milliseconds: number, run: () => void): void {
+  #whileAlive(node: simulations.Node, milliseconds: number, run: () => void): void {
     this.after(Math.max(milliseconds, node.pausedUntil - this.now), () => {
       if (!node.alive) return;
       run();
--- a/packages/core/tests/helpers/fakeControlStore.ts
+++ b/packages/core/tests/helpers/fakeControlStore.ts
@@ -1,16 +1,16 @@
 import * as standIns from "@camphorcourse/stand-ins";
 import * as core from "../../src/index.js";
-import type * as surroundings from "./surroundings.js";
+import type * as simulations from "./simulation.js";
 
 /** The stand-in's key-value store, over calls that take time and may be lost. */
 export class FakeControlStore {
   readonly store = new standIns.KeyValueStore();
   /** Whether it is out of reach. */
   down = false;
-  readonly #round: surroundings.Surroundings;
+  readonly #round: simulations.Surroundings;
 
   /** @param round - time, draws and faults */
-  constructor(round: surroundings.Surroundings) {
+  constructor(round: simulations.Surroundings) {
     this.#round = round;
   }
 
@@ -20,7 +20,7 @@
    * @param done - told how it ended
    */
   transact(
-    node: surroundings.Node,
+    node: simulations.Node,
     transaction: core.Transaction,
     done: (result: core.TransactionResult) => void,
   ): void {
@@ -46,7 +46,7 @@
    * @param lease - the lease to renew, or undefined for a first one
    * @param reply - told how it ended
    */
-  renew(lease: string | undefined, reply: surroundings.Reply): void {
+  renew(lease: string | undefined, reply: simulations.Reply): void {
     const { time } = this.#round;
     const sentAt = time.now;
     this.#round.afterCall(() => {
@@ -66,7 +66,7 @@
    * @param token - names the question
    * @param reply - told what was read
    */
-  readKeys(prefix: string, token: string, reply: surroundings.Reply): void {
+  readKeys(prefix: string, token: string, reply: simulations.Reply): void {
     this.#round.afterCall(() => {
       const records = this.down ? undefined : this.read(prefix);
       reply({ type: core.EventType.KeysRead, token, ...(records ? { records } : {}) });
--- a/packages/core/tests/helpers/fakeEndpoints.ts
+++ b/packages/core/tests/helpers/fakeEndpoints.ts
@@ -1,6 +1,6 @@
 import type * as common from "@camphorcourse/common";
 import * as core from "../../src/index.js";
-import type * as surroundings from "./surroundings.js";
+import type * as simulations from "./simulation.js";
 
 /** Time that a call runs, in ways of a call. */
 const RUN_CALLS = 5;
@@ -25,12 +25,12 @@
 export class FakeEndpoints {
   readonly executions: Execution[] = [];
   readonly words: FinalWord[] = [];
-  readonly #round: surroundings.Surroundings;
+  readonly #round: simulations.Surroundings;
   readonly #inFlight = new Map<string, Set<string>>();
   readonly #keys = new Map<string, string>();
 
   /** @param round - time, draws and faults */
-  constructor(round: surroundings.Surroundings) {
+  constructor(round: simulations.Surroundings) {
     this.#round = round;
   }
 
@@ -52,7 +52,7 @@
    * @param onSent - called before it is on its way
    * @param reply - told how it ended
    */
-  dispatch(action: core.DispatchAction, onSent: () => void, reply: surroundings.Reply): void {
+  dispatch(action: core.DispatchAction, onSent: () => void, reply: simulations.Reply): void {
     const { request, attempt, endpoint } = action;
     const draw = this.#round.random.next();
     onSent();
--- a/packages/core/tests/helpers/fakeEngineOrders.ts
+++ b/packages/core/tests/helpers/fakeEngineOrders.ts
@@ -1,5 +1,5 @@
 import * as core from "../../src/index.js";
-import type * as surroundings from "./surroundings.js";
+import type * as simulations from "./simulation.js";
 
 const ORDER_MS = 300;
 const LATE_ORDER_MS = 25_000;
@@ -21,11 +21,11 @@
   readonly arrived: ArrivedOrder[] = [];
   readonly checksFencing = new Map<string, boolean>();
   readonly roles = new Map<string, core.EndpointRole>();
-  readonly #round: surroundings.Surroundings;
+  readonly #round: simulations.Surroundings;
   readonly #last = new Map<string, { number: number; epoch: number }>();
 
   /** @param round - time, draws and faults */
-  constructor(round: surroundings.Surroundings) {
+  constructor(round: simulations.Surroundings) {
     this.#round = round;
   }
 
@@ -36,7 +36,7 @@
    * @param action - the order
    * @param reply - told how it ended
    */
-  send(node: surroundings.Node, action: core.SendOrderAction, reply: surroundings.Reply): void {
+  send(node: simulations.Node, action: core.SendOrderAction, reply: simulations.Reply): void {
     const { endpoint, number, epoch, shard } = action;
     const { time, random } = this.#round;
     this.#round.afterCall(() => {
@@ -58,10 +58,10 @@
 
   /** The sender gives up and resets the connection; if it is paused, only when it goes on. */
   #timeOut(
-    node: surroundings.Node,
-    token: surroundings.OrderToken,
+    node: simulations.Node,
+    token: simulations.OrderToken,
     action: core.SendOrderAction,
-    reply: surroundings.Reply,
+    reply: simulations.Reply,
   ): void {
     const { time } = this.#round;
     time.after(Math.max(ORDER_TIMEOUT_MS, node.pausedUntil - time.now + 1), () => {
@@ -76,7 +76,7 @@
     });
   }
 
-  #arrive(action: core.SendOrderAction, reply: surroundings.Reply): void {
+  #arrive(action: core.SendOrderAction, reply: simulations.Reply): void {
     const { endpoint, number, epoch, role } = action;
     const last = this.#last.get(endpoint) ?? { number: 0, epoch: 0 };
     const obeyed = !this.checksFencing.get(endpoint) || number >= last.number;
--- a/packages/core/tests/helpers/peerQuestions.ts
+++ b/packages/core/tests/helpers/peerQuestions.ts
@@ -1,5 +1,5 @@
 import * as core from "../../src/index.js";
-import type * as surroundings from "./surroundings.js";
+import type * as simulations from "./simulation.js";
 
 /** Time after which a claim is asked of oneself, and a join counts as unanswered, in milliseconds. */
 const UNANSWERED_MS = { claim: 1000, join: 5000 };
@@ -10,7 +10,7 @@
 
 /** Questions from daemon to daemon; a reply may be lost. */
 export class PeerQuestions {
-  readonly #round: surroundings.Surroundings;
+  readonly #round: simulations.Surroundings;
   readonly #deliver: (vm: string, event: core.CoreEvent) => void;
   readonly #waiters = new Map<string, (value: unknown) => void>();
   #joins = 0;
@@ -19,7 +19,7 @@
    * @param round - time, draws and faults
    * @param deliver - hands a daemon an event
    */
-  constructor(round: surroundings.Surroundings, deliver: (vm: string, event: core.CoreEvent) => void) {
+  constructor(round: simulations.Surroundings, deliver: (vm: string, event: core.CoreEvent) => void) {
     this.#round = round;
     this.#deliver = deliver;
   }
@@ -28,7 +28,7 @@
    * @param action - the question
    * @param reply - told the answer
    */
-  askClaim(action: AskClaim, reply: surroundings.Reply): void {
+  askClaim(action: AskClaim, reply: simulations.Reply): void {
     const { claim, peerUrl } = action;
     let answered = false;
     this.#ask(claim.attempt, peerUrl, { type: core.EventType.ClaimsAsked, claims: [claim] }, (value) => {
@@ -46,7 +46,7 @@
    * @param action - the question
    * @param reply - told the answer
    */
-  askJoin(action: AskJoin, reply: surroundings.Reply): void {
+  askJoin(action: AskJoin, reply: simulations.Reply): void {
     const { request, key, digest, owner, asker, timeoutMs } = action;
     if (!Number.isInteger(timeoutMs))
       throw new Error(`a call between daemons takes whole milliseconds, not ${timeoutMs}`);
