--- a/packages/core/tests/helpers/coreHarness.ts
+++ b/packages/core/tests/helpers/coreHarness.ts
@@ -1,7 +1,7 @@
 import * as common from "@camphorcourse/common";
 import * as standIns from "@camphorcourse/stand-ins";
 import * as core from "../../src/index.js";
-import * as actionCarriers from "./actionCarrier.js";
+import * as actionExecutors from "./actionExecutor.js";
 import * as fakeControlStores from "./fakeControlStore.js";
 import * as fakeEndpoints from "./fakeEndpoints.js";
 import * as fakeEngineOrders from "./fakeEngineOrders.js";
@@ -23,7 +23,7 @@
   readonly #control: fakeControlStores.FakeControlStore;
   readonly #endpoints: fakeEndpoints.FakeEndpoints;
   readonly #engines: fakeEngineOrders.FakeEngineOrders;
-  readonly #carrier: actionCarriers.ActionCarrier;
+  readonly #carrier: actionExecutors.ActionCarrier;
   readonly #nodes = new Map<string, simulations.Node>();
   readonly #lingerMs: number;
 
@@ -38,7 +38,7 @@
     this.#control = new fakeControlStores.FakeControlStore(this.#round);
     this.#endpoints = new fakeEndpoints.FakeEndpoints(this.#round);
     this.#engines = new fakeEngineOrders.FakeEngineOrders(this.#round);
-    this.#carrier = new actionCarriers.ActionCarrier({
+    this.#carrier = new actionExecutors.ActionCarrier({
       round: this.#round,
       control: this.#control,
       endpoints: this.#endpoints,
