--- a/packages/core/tests/helpers/actionExecutor.ts
+++ b/packages/core/tests/helpers/actionExecutor.ts
@@ -2,7 +2,7 @@
 import type * as fakeControlStores from "./fakeControlStore.js";
 import type * as fakeEndpoints from "./fakeEndpoints.js";
 import type * as fakeEngineOrders from "./fakeEngineOrders.js";
-import * as peerQuestions from "./peerQuestions.js";
+import * as peerCalls from "./peerCalls.js";
 import type * as simulations from "./simulation.js";
 
 /** What actions are carried out on. */
@@ -20,12 +20,12 @@
 /** Carries the cores' actions out on the fakes round them. */
 export class ActionCarrier {
   readonly #parts: CarrierParts;
-  readonly #questions: peerQuestions.PeerQuestions;
+  readonly #questions: peerCalls.PeerQuestions;
 
   /** @param parts - what actions are carried out on */
   constructor(parts: CarrierParts) {
     this.#parts = parts;
-    this.#questions = new peerQuestions.PeerQuestions(parts.round, (vm, event) => {
+    this.#questions = new peerCalls.PeerQuestions(parts.round, (vm, event) => {
       this.#deliver(vm, event);
     });
   }
