--- a/packages/core/tests/helpers/actionExecutor.ts
+++ b/packages/core/tests/helpers/actionExecutor.ts
@@ -7,7 +7,7 @@
 
 /** What actions are carried out on. */
 export interface CarrierParts {
-  readonly round: simulations.Surroundings;
+  readonly round: simulations.Simulation;
   readonly control: fakeControlStores.FakeControlStore;
   readonly endpoints: fakeEndpoints.FakeEndpoints;
   readonly engines: fakeEngineOrders.FakeEngineOrders;
--- a/packages/core/tests/helpers/coreHarness.ts
+++ b/packages/core/tests/helpers/coreHarness.ts
@@ -19,7 +19,7 @@
   readonly vmStates = new Map<string, core.VmState>();
   onDispatched: (vm: string, action: core.DispatchAction) => void = () => undefined;
   readonly #time = new virtualTimes.VirtualTime();
-  readonly #round: simulations.Surroundings;
+  readonly #round: simulations.Simulation;
   readonly #control: fakeControlStores.FakeControlStore;
   readonly #endpoints: fakeEndpoints.FakeEndpoints;
   readonly #engines: fakeEngineOrders.FakeEngineOrders;
@@ -34,7 +34,7 @@
   constructor(seed: number, lingerMs = 60_000) {
     this.random = new common.SeededRandom(seed);
     this.#lingerMs = lingerMs;
-    this.#round = new simulations.Surroundings(this.#time, this.random);
+    this.#round = new simulations.Simulation(this.#time, this.random);
     this.#control = new fakeControlStores.FakeControlStore(this.#round);
     this.#endpoints = new fakeEndpoints.FakeEndpoints(this.#round);
     this.#engines = new fakeEngineOrders.FakeEngineOrders(this.#round);
--- a/packages/core/tests/helpers/fakeControlStore.ts
+++ b/packages/core/tests/helpers/fakeControlStore.ts
@@ -7,10 +7,10 @@
   readonly store = new standIns.KeyValueStore();
   /** Whether it is out of reach. */
   down = false;
-  readonly #round: simulations.Surroundings;
+  readonly #round: simulations.Simulation;
 
   /** @param round - time, draws and faults */
-  constructor(round: simulations.Surroundings) {
+  constructor(round: simulations.Simulation) {
     this.#round = round;
   }
 
--- a/packages/core/tests/helpers/fakeEndpoints.ts
+++ b/packages/core/tests/helpers/fakeEndpoints.ts
@@ -25,12 +25,12 @@
 export class FakeEndpoints {
   readonly executions: Execution[] = [];
   readonly words: FinalWord[] = [];
-  readonly #round: simulations.Surroundings;
+  readonly #round: simulations.Simulation;
   readonly #inFlight = new Map<string, Set<string>>();
   readonly #keys = new Map<string, string>();
 
   /** @param round - time, draws and faults */
-  constructor(round: simulations.Surroundings) {
+  constructor(round: simulations.Simulation) {
     this.#round = round;
   }
 
--- a/packages/core/tests/helpers/fakeEngineOrders.ts
+++ b/packages/core/tests/helpers/fakeEngineOrders.ts
@@ -21,11 +21,11 @@
   readonly arrived: ArrivedOrder[] = [];
   readonly checksFencing = new Map<string, boolean>();
   readonly roles = new Map<string, core.EndpointRole>();
-  readonly #round: simulations.Surroundings;
+  readonly #round: simulations.Simulation;
   readonly #last = new Map<string, { number: number; epoch: number }>();
 
   /** @param round - time, draws and faults */
-  constructor(round: simulations.Surroundings) {
+  constructor(round: simulations.Simulation) {
     this.#round = round;
   }
 
--- a/packages/core/tests/helpers/peerCalls.ts
+++ b/packages/core/tests/helpers/peerCalls.ts
@@ -10,7 +10,7 @@
 
 /** Questions from daemon to daemon; a reply may be lost. */
 export class PeerQuestions {
-  readonly #round: simulations.Surroundings;
+  readonly #round: simulations.Simulation;
   readonly #deliver: (vm: string, event: core.CoreEvent) => void;
   readonly #waiters = new Map<string, (value: unknown) => void>();
   #joins = 0;
@@ -19,7 +19,7 @@
    * @param round - time, draws and faults
    * @param deliver - hands a daemon an event
    */
-  constructor(round: simulations.Surroundings, deliver: (vm: string, event: core.CoreEvent) => void) {
+  constructor(round: simulations.Simulation, deliver: (vm: string, event: core.CoreEvent) => void) {
     this.#round = round;
     this.#deliver = deliver;
   }
--- a/packages/core/tests/helpers/simulation.ts
+++ b/packages/core/tests/helpers/simulation.ts
@@ -35,7 +35,7 @@
 export type Reply = (event: core.CoreEvent) => void;
 
 /** What the fakes round the cores share: time, draws and faults. */
-export class Surroundings {
+export class Simulation {
   readonly time: virtualTimes.VirtualTime;
   readonly random: common.SeededRandom;
   faults: FaultRates = NO_FAULTS;
