--- a/packages/core/tests/helpers/fakeEngineOrders.ts
+++ b/packages/core/tests/helpers/fakeEngineOrders.ts
@@ -59,7 +59,7 @@
   /** The sender gives up and resets the connection; if it is paused, only when it goes on. */
   #timeOut(
     node: simulations.Node,
-    token: simulations.OrderToken,
+    token: simulations.InFlightOrder,
     action: core.SendOrderAction,
     reply: simulations.Reply,
   ): void {
--- a/packages/core/tests/helpers/simulation.ts
+++ b/packages/core/tests/helpers/simulation.ts
@@ -23,11 +23,11 @@
   alive: boolean;
   pausedUntil: number;
   lastWatchAt: number;
-  orderTokens: OrderToken[];
+  orderTokens: InFlightOrder[];
 }
 
 /** An order that is on its way, until its connection is reset. */
-export interface OrderToken {
+export interface InFlightOrder {
   cancelled: boolean;
 }
 
