--- a/packages/core/tests/helpers/actionExecutor.ts
+++ b/packages/core/tests/helpers/actionExecutor.ts
@@ -97,7 +97,7 @@
       const node = this.#parts.nodeOf(vm);
       if (!node?.alive || node.pausedUntil > this.#parts.round.time.now) return;
       this.#parts.handle(vm, node, { type: core.EventType.DeposeAsked, shard, epoch });
-      for (const token of node.orderTokens) token.cancelled = true;
+      for (const token of node.inFlightOrders) token.cancelled = true;
       const { incarnation } = node.core.registration;
       reply({ type: core.EventType.DeposeAnswered, vm, shard, epoch, incarnation, reset: true });
     });
--- a/packages/core/tests/helpers/coreHarness.ts
+++ b/packages/core/tests/helpers/coreHarness.ts
@@ -133,7 +133,7 @@
       leaving: false,
     };
     const started = new core.Core({ registration, seed: this.random.integer(1e9), lingerMs: this.#lingerMs });
-    const node: simulations.Node = { core: started, alive: true, pausedUntil: 0, lastWatchAt: 0, orderTokens: [] };
+    const node: simulations.Node = { core: started, alive: true, pausedUntil: 0, lastWatchAt: 0, inFlightOrders: [] };
     this.#nodes.set(vm, node);
     this.#readAll(vm, node);
     this.#whileAlive(node, TICK_MS, () => {
--- a/packages/core/tests/helpers/fakeEngineOrders.ts
+++ b/packages/core/tests/helpers/fakeEngineOrders.ts
@@ -46,7 +46,7 @@
         return;
       }
       const token = { cancelled: false };
-      node.orderTokens.push(token);
+      node.inFlightOrders.push(token);
       const late = random.next() < this.#round.faults.lateOrder;
       const delayMs = late ? random.integer(LATE_ORDER_MS) : this.#round.callMs();
       time.after(delayMs, () => {
--- a/packages/core/tests/helpers/simulation.ts
+++ b/packages/core/tests/helpers/simulation.ts
@@ -23,7 +23,7 @@
   alive: boolean;
   pausedUntil: number;
   lastWatchAt: number;
-  orderTokens: InFlightOrder[];
+  inFlightOrders: InFlightOrder[];
 }
 
 /** An order that is on its way, until its connection is reset. */
