--- a/packages/core/tests/helpers/actionExecutor.ts
+++ b/packages/core/tests/helpers/actionExecutor.ts
@@ -18,7 +18,7 @@
 }
 
 /** Carries the cores' actions out on the fakes round them. */
-export class ActionCarrier {
+export class ActionExecutor {
   readonly #parts: CarrierParts;
   readonly #questions: peerCalls.PeerQuestions;
 
--- a/packages/core/tests/helpers/coreHarness.ts
+++ b/packages/core/tests/helpers/coreHarness.ts
@@ -23,7 +23,7 @@
   readonly #control: fakeControlStores.FakeControlStore;
   readonly #endpoints: fakeEndpoints.FakeEndpoints;
   readonly #engines: fakeEngineOrders.FakeEngineOrders;
-  readonly #carrier: actionExecutors.ActionCarrier;
+  readonly #carrier: actionExecutors.ActionExecutor;
   readonly #nodes = new Map<string, simulations.Node>();
   readonly #lingerMs: number;
 
@@ -38,7 +38,7 @@
     this.#control = new fakeControlStores.FakeControlStore(this.#round);
     this.#endpoints = new fakeEndpoints.FakeEndpoints(this.#round);
     this.#engines = new fakeEngineOrders.FakeEngineOrders(this.#round);
-    this.#carrier = new actionExecutors.ActionCarrier({
+    this.#carrier = new actionExecutors.ActionExecutor({
       round: this.#round,
       control: this.#control,
       endpoints: this.#endpoints,
