--- a/packages/core/tests/helpers/actionExecutor.ts
+++ b/packages/core/tests/helpers/actionExecutor.ts
@@ -6,7 +6,7 @@
 import type * as simulations from "./simulation.js";
 
 /** What actions are carried out on. */
-export interface CarrierParts {
+export interface ActionExecutorParts {
   readonly round: simulations.Simulation;
   readonly control: fakeControlStores.FakeControlStore;
   readonly endpoints: fakeEndpoints.FakeEndpoints;
@@ -19,11 +19,11 @@
 
 /** Carries the cores' actions out on the fakes round them. */
 export class ActionExecutor {
-  readonly #parts: CarrierParts;
+  readonly #parts: ActionExecutorParts;
   readonly #questions: peerCalls.PeerQuestions;
 
   /** @param parts - what actions are carried out on */
-  constructor(parts: CarrierParts) {
+  constructor(parts: ActionExecutorParts) {
     this.#parts = parts;
     this.#questions = new peerCalls.PeerQuestions(parts.round, (vm, event) => {
       this.#deliver(vm, event);
