--- a/packages/core/tests/helpers/actionExecutor.ts
+++ b/packages/core/tests/helpers/actionExecutor.ts
@@ -35,7 +35,7 @@
    * @param node - the process
    * @param action - what it wants done
    */
-  carryOut(vm: string, node: simulations.Node, action: core.Action): void {
+  execute(vm: string, node: simulations.Node, action: core.Action): void {
     const reply: simulations.Reply = (event) => {
       this.#parts.round.afterCall(() => {
         this.#parts.handle(vm, node, event);
--- a/packages/core/tests/helpers/coreHarness.ts
+++ b/packages/core/tests/helpers/coreHarness.ts
@@ -218,7 +218,7 @@
       return;
     }
     const actions = node.core.handle(event, { now: this.now, wall: WALL_START + this.now });
-    for (const action of actions) this.#carrier.carryOut(vm, node, action);
+    for (const action of actions) this.#carrier.execute(vm, node, action);
   }
 
   #exchange(vm: string, node: simulations.Node): void {
