--- a/packages/core/tests/helpers/actionExecutor.ts
+++ b/packages/core/tests/helpers/actionExecutor.ts
@@ -20,12 +20,12 @@
 /** Carries the cores' actions out on the fakes round them. */
 export class ActionExecutor {
   readonly #parts: ActionExecutorParts;
-  readonly #questions: peerCalls.PeerQuestions;
+  readonly #questions: peerCalls.PeerCalls;
 
   /** @param parts - what actions are carried out on */
   constructor(parts: ActionExecutorParts) {
     this.#parts = parts;
-    this.#questions = new peerCalls.PeerQuestions(parts.round, (vm, event) => {
+    this.#questions = new peerCalls.PeerCalls(parts.round, (vm, event) => {
       this.#deliver(vm, event);
     });
   }
--- a/packages/core/tests/helpers/peerCalls.ts
+++ b/packages/core/tests/helpers/peerCalls.ts
@@ -9,7 +9,7 @@
 type AnswerJoin = Extract<core.Action, { type: core.ActionType.AnswerJoin }>;
 
 /** Questions from daemon to daemon; a reply may be lost. */
-export class PeerQuestions {
+export class PeerCalls {
   readonly #round: simulations.Simulation;
   readonly #deliver: (vm: string, event: core.CoreEvent) => void;
   readonly #waiters = new Map<string, (value: unknown) => void>();
