--- a/packages/core/tests/helpers/coreHarness.ts
+++ b/packages/core/tests/helpers/coreHarness.ts
@@ -75,7 +75,7 @@
   }
 
   /** @returns what callers were told, in order */
-  get words(): fakeEndpoints.FinalWord[] {
+  get words(): fakeEndpoints.CallerResult[] {
     return this.#endpoints.words;
   }
 
--- a/packages/core/tests/helpers/fakeEndpoints.ts
+++ b/packages/core/tests/helpers/fakeEndpoints.ts
@@ -14,7 +14,7 @@
 }
 
 /** The final word that a caller got. */
-export interface FinalWord {
+export interface CallerResult {
   readonly request: string;
   readonly key: string;
   readonly outcome: "answered" | common.Outcome;
@@ -24,7 +24,7 @@
 /** The endpoints that run calls, and the callers that hear of them. */
 export class FakeEndpoints {
   readonly executions: Execution[] = [];
-  readonly words: FinalWord[] = [];
+  readonly words: CallerResult[] = [];
   readonly #round: simulations.Simulation;
   readonly #inFlight = new Map<string, Set<string>>();
   readonly #keys = new Map<string, string>();
@@ -82,7 +82,7 @@
    * @param outcome - what its caller is told
    * @param problem - why it was refused
    */
-  tellCaller(request: string, outcome: FinalWord["outcome"], problem?: common.Problem): void {
+  tellCaller(request: string, outcome: CallerResult["outcome"], problem?: common.Problem): void {
     this.words.push({ request, key: this.#keys.get(request) ?? "", outcome, ...(problem ? { problem } : {}) });
   }
 }
