--- a/packages/core/tests/atMostOnce.test.ts
+++ b/packages/core/tests/atMostOnce.test.ts
@@ -23,7 +23,7 @@
 
 /** A key none of whose deliveries was answered, and each of which was told "not run", must not have run. */
 function assertWordsAreTrue(harness: coreHarness.CoreHarness): void {
-  for (const word of harness.words) {
+  for (const word of harness.callerResults) {
     if (word.outcome !== "not-run") continue;
     const ran = harness.executions.some((execution) => execution.request === word.request);
     assert.not(ran, `${word.request} was told not-run but ran`);
@@ -47,8 +47,8 @@
   }
   harness.run(12_000);
   for (let index = 0; index < 40; index++) assert.ok(executionsOf(harness, `key-${index}`) <= 1);
-  assert.is(harness.words.length, 120);
-  assert.ok(harness.words.filter((word) => word.outcome === "answered").length >= 100);
+  assert.is(harness.callerResults.length, 120);
+  assert.ok(harness.callerResults.filter((word) => word.outcome === "answered").length >= 100);
 });
 
 /*
@@ -103,7 +103,7 @@
   harness.keyValueDown = true;
   harness.send("vm-1", documents.plainCall("first", "key"));
   harness.run(200);
-  const [word] = harness.words;
+  const [word] = harness.callerResults;
   assert.is(word?.outcome, "not-run");
   assert.is(word?.problem?.kind, "key-value-unavailable");
   assert.ok((word?.problem?.retryAfterMs ?? 0) > 0);
@@ -111,7 +111,7 @@
   harness.run(SETTLE_MS);
   harness.send("vm-2", documents.plainCall("second", "key"));
   harness.run(SETTLE_MS);
-  assert.is(harness.words.at(-1)?.outcome, "answered");
+  assert.is(harness.callerResults.at(-1)?.outcome, "answered");
   assert.is(executionsOf(harness, "key"), 1);
 });
 
@@ -132,7 +132,7 @@
   harness.onDispatched = () => undefined;
   harness.send("vm-2", documents.plainCall("second", "key"));
   harness.run(10_000);
-  const word = harness.words.find((candidate) => candidate.request === "second");
+  const word = harness.callerResults.find((candidate) => candidate.request === "second");
   assert.is(word?.outcome, "unknown");
   assert.is(executionsOf(harness, "key"), 1);
 });
@@ -149,7 +149,7 @@
   harness.send("vm-2", documents.plainCall("third", "key", "two"));
   harness.run(SETTLE_MS);
   for (const request of ["second", "third"]) {
-    const word = harness.words.find((candidate) => candidate.request === request);
+    const word = harness.callerResults.find((candidate) => candidate.request === request);
     assert.is(word?.problem?.kind, "idempotency-key-reused");
   }
   assert.is(executionsOf(harness, "key"), 1);
@@ -167,7 +167,7 @@
     for (const vm of VMS) harness.send(vm, documents.plainCall(`${vm}-${index}`, `key-${index}`));
   }
   harness.run(SETTLE_MS);
-  assert.ok(harness.words.every((word) => word.outcome === "answered"));
+  assert.ok(harness.callerResults.every((word) => word.outcome === "answered"));
 });
 
 /*
@@ -180,14 +180,14 @@
   harness.faults = { ...harness.faults, endpointRefuses: 1 };
   harness.send("vm-1", documents.plainCall("first", "key"));
   harness.run(SETTLE_MS);
-  assert.is(harness.words[0]?.outcome, "not-run");
+  assert.is(harness.callerResults[0]?.outcome, "not-run");
   harness.faults = { ...harness.faults, endpointRefuses: 0 };
   harness.send("vm-2", documents.plainCall("second", "key"));
   harness.send("vm-3", documents.plainCall("third", "key"));
   harness.run(SETTLE_MS);
   assert.is(executionsOf(harness, "key"), 1);
   assert.equal(
-    harness.words.slice(1).map((word) => word.outcome),
+    harness.callerResults.slice(1).map((word) => word.outcome),
     ["answered", "answered"],
   );
 });
--- a/packages/core/tests/helpers/coreHarness.ts
+++ b/packages/core/tests/helpers/coreHarness.ts
@@ -75,7 +75,7 @@
   }
 
   /** @returns what callers were told, in order */
-  get words(): fakeEndpoints.CallerResult[] {
+  get callerResults(): fakeEndpoints.CallerResult[] {
     return this.#endpoints.words;
   }
 
