--- a/packages/core/tests/helpers/coreHarness.ts
+++ b/packages/core/tests/helpers/coreHarness.ts
@@ -76,7 +76,7 @@
 
   /** @returns what callers were told, in order */
   get callerResults(): fakeEndpoints.CallerResult[] {
-    return this.#endpoints.words;
+    return this.#endpoints.callerResults;
   }
 
   /** @returns what engines were ordered, in order of arrival */
--- a/packages/core/tests/helpers/fakeEndpoints.ts
+++ b/packages/core/tests/helpers/fakeEndpoints.ts
@@ -24,7 +24,7 @@
 /** The endpoints that run calls, and the callers that hear of them. */
 export class FakeEndpoints {
   readonly executions: Execution[] = [];
-  readonly words: CallerResult[] = [];
+  readonly callerResults: CallerResult[] = [];
   readonly #round: simulations.Simulation;
   readonly #inFlight = new Map<string, Set<string>>();
   readonly #keys = new Map<string, string>();
@@ -83,6 +83,6 @@
    * @param problem - why it was refused
    */
   tellCaller(request: string, outcome: CallerResult["outcome"], problem?: common.Problem): void {
-    this.words.push({ request, key: this.#keys.get(request) ?? "", outcome, ...(problem ? { problem } : {}) });
+    this.callerResults.push({ request, key: this.#keys.get(request) ?? "", outcome, ...(problem ? { problem } : {}) });
   }
 }
