--- a/packages/core/tests/helpers/actionExecutor.ts
+++ b/packages/core/tests/helpers/actionExecutor.ts
@@ -69,10 +69,10 @@
         this.#parts.endpoints.dispatch(action, () => this.#parts.onDispatched(vm, action), reply);
         break;
       case core.ActionType.Refuse:
-        this.#parts.endpoints.tellCaller(action.request, action.problem.outcome, action.problem);
+        this.#parts.endpoints.recordCallerResult(action.request, action.problem.outcome, action.problem);
         break;
       case core.ActionType.Relay:
-        this.#parts.endpoints.tellCaller(action.request, "answered");
+        this.#parts.endpoints.recordCallerResult(action.request, "answered");
         break;
       case core.ActionType.SendOrder:
         this.#parts.engines.send(node, action, reply);
--- a/packages/core/tests/helpers/fakeEndpoints.ts
+++ b/packages/core/tests/helpers/fakeEndpoints.ts
@@ -71,7 +71,7 @@
           return;
         }
         const answer = { status: 200, contentType: "text/plain", body: Buffer.from(attempt) };
-        this.tellCaller(request, "answered");
+        this.recordCallerResult(request, "answered");
         reply({ type: core.EventType.AnswerDone, request, attempt, outputTokens: 1, answer });
       });
     });
@@ -82,7 +82,7 @@
    * @param outcome - what its caller is told
    * @param problem - why it was refused
    */
-  tellCaller(request: string, outcome: CallerResult["outcome"], problem?: common.Problem): void {
+  recordCallerResult(request: string, outcome: CallerResult["outcome"], problem?: common.Problem): void {
     this.callerResults.push({ request, key: this.#keys.get(request) ?? "", outcome, ...(problem ? { problem } : {}) });
   }
 }
