--- a/packages/core/src/admission.ts
+++ b/packages/core/src/admission.ts
@@ -2,97 +2,102 @@
 export interface QueuedRequest {
   readonly id: string;
   readonly priority: number;
-  /** Monotonic time by which the whole answer must be there. */
+  /** Monotonic time by which the whole answer must be complete. */
   readonly deadline: number;
-  /** Prompt tokens to be taken in; 0 for a plain call. */
+  /** Prompt tokens to prefill; 0 for a plain call. */
   readonly promptTokens: number;
-  /** Milliseconds that it takes once it is at an endpoint. */
+  /** Predicted milliseconds from dispatch to an endpoint until the answer is complete. */
   readonly serviceMs: number;
-  /** Tells a request that comes back from others: equal for equal requests. */
+  /** Equal for equal requests; recognises the retry of a refused request. */
   readonly fingerprint?: string;
 }
 
-/** Work that waits in a queue. */
+/** Total work of the requests in a queue. */
 export interface WaitingWork {
   readonly tokens: number;
   readonly requests: number;
 }
 
-/** What the service's endpoints can do together, and what they have to do already. */
+/** Total capacity and current load of a service's endpoints. */
 export interface PoolCapacity {
-  /** Prompt tokens that they take in per millisecond. */
+  /** Prompt tokens prefilled per millisecond by all endpoints together. */
   readonly tokensPerMs: number;
-  /** Prompt tokens that wait at them. */
+  /** Prompt tokens at the endpoints that are not prefilled yet. */
   readonly waitingTokens: number;
-  /** What waits in the other daemons' queues. */
+  /** Work in the queues of the other daemons. */
   readonly peerQueues: WaitingWork;
-  /** Answers that can be under way side by side. */
+  /** Answers that can be generated concurrently. */
   readonly slots: number;
-  /** Answers that are. */
+  /** Answers being generated now. */
   readonly busySlots: number;
-  /** Milliseconds that an answer holds its slot on average. */
+  /** Average milliseconds that an answer occupies its slot. */
   readonly slotMs: number;
   /** Daemons that share the endpoints, this one included. */
   readonly daemons: number;
 }
 
-/** Whether a request can be in time. */
+/** Prediction of whether a request can meet its deadline. */
 export interface Estimate {
   readonly finishMs: number;
   readonly feasible: boolean;
-  /** How long to stay away when it is not. */
+  /** Delay after which the caller should retry if it is not feasible; otherwise 0. */
   readonly retryAfterMs: number;
 }
 
-const LEAST_RETRY_MS = 5000;
-const LONGEST_RETRY_MS = 60_000;
-/** A booking is kept for a caller that comes this much later than told. */
+const MIN_RETRY_MS = 5000;
+const MAX_RETRY_MS = 60_000;
+/** Weight of each new observation in the learned probability that a refused caller retries. */
 const RETURN_LEARNING_RATE = 0.05;
-const EARLY_RETURN_MS = 250;
-const BOOKING_GRACE_MS = 1500;
-/** Bookings that fall due within this time count as work ahead of new callers. */
-const BOOKING_AHEAD_MS = 1500;
-/** Share of the predicted lateness that is added to the time told, as the backlog may still grow. */
-const BOOKING_MARGIN = 2;
-/** Share of the predicted time that is added, since predictions are off. */
-const SAFETY_SHARE = 0.1;
-
-/** Work that a refused caller has been told to come back with. */
-interface Booking {
+/** A caller that retries this much early still gets its reservation. */
+const EARLY_RETURN_TOLERANCE_MS = 250;
+/** A reservation is kept this long after the time given to the caller. */
+const RESERVATION_GRACE_MS = 1500;
+/** Reservations due within this time count as work ahead of new callers. */
+const RESERVATION_HORIZON_MS = 1500;
+/** Multiple of the predicted lateness added to the retry delay, as the backlog may still grow. */
+const LATENESS_MARGIN = 2;
+/** Share of the predicted time added to allow for prediction errors. */
+const PREDICTION_MARGIN = 0.1;
+
+/** Capacity reserved for the retry of a refused request. */
+interface Reservation {
   readonly dueAt: number;
   readonly tokens: number;
 }
 
 /**
- * The requests of one service that wait in this daemon: highest priority first,
- * then earliest deadline. A request that can't be in time is refused at once
- * with the time at which it could be, so that the caller decides, not a queue.
+ * The queue of one service at this daemon, ordered by highest priority, then
+ * earliest deadline. A request that can't meet its deadline is refused at once
+ * with a retry delay, so that the caller can decide what to do instead of
+ * waiting in the queue.
  */
 export class AdmissionQueue {
   #queue: QueuedRequest[] = [];
-  #retriesBookedUntil = 0;
-  readonly #bookings = new Map<string, Booking>();
-  /** Share of the booked callers that come back, as learned. */
-  #returnShare = 0.5;
+  #retriesReservedUntil = 0;
+  readonly #reservations = new Map<string, Reservation>();
+  /** Learned share of the callers with a reservation that retry. */
+  #returnProbability = 0.5;
 
-  /** @returns how many wait */
+  /** @returns number of queued requests */
   get length(): number {
     return this.#queue.length;
   }
 
-  /** @returns the first in line */
+  /** @returns the request at the head of the queue */
   get first(): QueuedRequest | undefined {
     return this.#queue[0];
   }
 
-  /** @returns the work that waits here */
+  /** @returns total work of the queued requests */
   waiting(): WaitingWork {
     const tokens = this.#queue.reduce((sum, { promptTokens }) => sum + promptTokens, 0);
     return { tokens, requests: this.#queue.length };
   }
 
   /**
-   * @param request - joins the queue at its place
+   * Inserts a request by priority and deadline.
+   *
+   * @param request - the request
    */
   add(request: QueuedRequest): void {
     let index = this.#queue.length;
@@ -101,7 +106,7 @@
   }
 
   /**
-   * @param id - the request that leaves the queue
+   * @param id - id of the request to remove
    */
   remove(id: string): void {
     const index = this.#queue.findIndex((request) => request.id === id);
@@ -109,83 +114,87 @@
   }
 
   /**
-   * Predicts when a request would finish. The prompts ahead of it are taken in
-   * one after the other; answers are made side by side, so those ahead delay it
-   * only when all slots are taken.
+   * Predicts when a request would finish. The prompts ahead of it are prefilled
+   * one after the other; answers are generated concurrently, so the requests
+   * ahead delay it only when all slots are busy. Reserves a retry time if the
+   * request can't meet its deadline, and uses up its reservation if it has one.
    *
    * @param request - not in the queue yet
    * @param pool - the endpoints' capacity and backlog
    * @param now - current time
-   * @returns when it would finish
+   * @returns predicted finish time, and the retry delay if it is not feasible
    */
   estimate(request: QueuedRequest, pool: PoolCapacity, now: number): Estimate {
-    const returns = this.#takeBooking(request, now);
-    const ahead = withPeers(this.#workAhead(request, returns, now), pool);
+    const isReturning = this.#claimReservation(request, now);
+    const ahead = withPeerQueues(this.#workAhead(request, isReturning, now), pool);
     const waitMs = prefillWaitMs(request, ahead, pool) + slotWaitMs(ahead, pool);
-    const finishMs = waitMs + request.serviceMs * (returns ? 1 : 1 + SAFETY_SHARE);
+    const finishMs = waitMs + request.serviceMs * (isReturning ? 1 : 1 + PREDICTION_MARGIN);
     const lateMs = now + finishMs - request.deadline;
     if (lateMs <= 0) return { finishMs, feasible: true, retryAfterMs: 0 };
-    return { finishMs, feasible: false, retryAfterMs: this.#bookRetry(lateMs, request, pool, now) };
+    return { finishMs, feasible: false, retryAfterMs: this.#reserveRetry(lateMs, request, pool, now) };
   }
 
   /**
    * @param now - current time
-   * @returns requests that can no longer be in time, taken out of the queue
+   * @returns requests that can no longer meet their deadline, removed from the queue
    */
   takeInfeasible(now: number): QueuedRequest[] {
-    const hopeless = this.#queue.filter((request) => now + request.serviceMs > request.deadline);
-    if (hopeless.length > 0) this.#queue = this.#queue.filter((request) => !hopeless.includes(request));
-    return hopeless;
+    const infeasible = this.#queue.filter((request) => now + request.serviceMs > request.deadline);
+    if (infeasible.length > 0) this.#queue = this.#queue.filter((request) => !infeasible.includes(request));
+    return infeasible;
   }
 
   /**
-   * Books a time for a refused caller. Were all given the same instant, they
-   * would come back together and most be refused again; and without a booking,
-   * new callers would have taken the room by then. So times are spread over what
-   * the pool needs for them, and what is booked counts as work ahead of others.
+   * Reserves a retry time for a refused request. If all callers got the same
+   * time, they would retry together and most would be refused again; without a
+   * reservation, new callers would have taken the capacity by then. So retry
+   * times are spread over the time that the pool needs for the requests, and
+   * reserved work counts as work ahead of new callers.
+   *
+   * @returns delay in milliseconds
    */
-  #bookRetry(lateMs: number, request: QueuedRequest, pool: PoolCapacity, now: number): number {
-    const earliest = now + Math.max(LEAST_RETRY_MS, lateMs * (1 + BOOKING_MARGIN));
-    const start = Math.max(earliest, this.#retriesBookedUntil);
-    const own = shareOfPoolMs(request, pool) * pool.daemons;
-    const dueAt = Math.min(start + own, now + LONGEST_RETRY_MS);
-    this.#retriesBookedUntil = dueAt;
+  #reserveRetry(lateMs: number, request: QueuedRequest, pool: PoolCapacity, now: number): number {
+    const earliest = now + Math.max(MIN_RETRY_MS, lateMs * (1 + LATENESS_MARGIN));
+    const start = Math.max(earliest, this.#retriesReservedUntil);
+    const ownMs = poolTimeMs(request, pool) * pool.daemons;
+    const dueAt = Math.min(start + ownMs, now + MAX_RETRY_MS);
+    this.#retriesReservedUntil = dueAt;
     if (request.fingerprint !== undefined) {
-      this.#bookings.set(request.fingerprint, { dueAt, tokens: request.promptTokens });
+      this.#reservations.set(request.fingerprint, { dueAt, tokens: request.promptTokens });
     }
     return dueAt - now;
   }
 
-  /** Returns whether the request is one that was told to come back by now. */
-  #takeBooking(request: QueuedRequest, now: number): boolean {
-    for (const [fingerprint, booking] of this.#bookings) {
-      if (booking.dueAt + BOOKING_GRACE_MS >= now) continue;
-      this.#bookings.delete(fingerprint);
-      this.#learnReturn(0);
+  /** Drops expired reservations; returns whether the request has one that is due, and uses it up. */
+  #claimReservation(request: QueuedRequest, now: number): boolean {
+    for (const [fingerprint, reservation] of this.#reservations) {
+      if (reservation.dueAt + RESERVATION_GRACE_MS >= now) continue;
+      this.#reservations.delete(fingerprint);
+      this.#learnReturnProbability(0);
     }
-    const booking = request.fingerprint === undefined ? undefined : this.#bookings.get(request.fingerprint);
-    if (!booking || now < booking.dueAt - EARLY_RETURN_MS) return false;
-    this.#learnReturn(1);
-    return this.#bookings.delete(request.fingerprint ?? "");
+    const reservation = request.fingerprint === undefined ? undefined : this.#reservations.get(request.fingerprint);
+    if (!reservation || now < reservation.dueAt - EARLY_RETURN_TOLERANCE_MS) return false;
+    this.#learnReturnProbability(1);
+    return this.#reservations.delete(request.fingerprint ?? "");
   }
 
-  #learnReturn(came: number): void {
-    this.#returnShare += RETURN_LEARNING_RATE * (came - this.#returnShare);
+  #learnReturnProbability(observed: number): void {
+    this.#returnProbability += RETURN_LEARNING_RATE * (observed - this.#returnProbability);
   }
 
-  #workAhead(request: QueuedRequest, returns: boolean, now: number): WaitingWork {
+  #workAhead(request: QueuedRequest, isReturning: boolean, now: number): WaitingWork {
     let [tokens, requests] = [0, 0];
     for (const other of this.#queue) {
       if (isBefore(request, other)) break;
       tokens += other.promptTokens;
       requests++;
     }
-    if (returns) return { tokens, requests };
-    for (const booking of this.#bookings.values()) {
-      if (booking.dueAt > now + BOOKING_AHEAD_MS) continue;
-      // Callers that give up leave their room to others, as far as they are known to.
-      tokens += booking.tokens * this.#returnShare;
-      requests += this.#returnShare;
+    if (isReturning) return { tokens, requests };
+    for (const reservation of this.#reservations.values()) {
+      if (reservation.dueAt > now + RESERVATION_HORIZON_MS) continue;
+      // Not every refused caller retries, so reserved work is weighted by the learned probability.
+      tokens += reservation.tokens * this.#returnProbability;
+      requests += this.#returnProbability;
     }
     return { tokens, requests };
   }
@@ -198,30 +207,33 @@
 }
 
 /**
- * What waits at the other daemons is ahead only of a request that has to wait
- * here too: one that is first in its own queue goes to the next endpoint that has
- * room, however many wait elsewhere.
+ * Adds the work in other daemons' queues, but only for a request that also has
+ * to wait here: one at the head of its own queue goes to the next endpoint with
+ * free capacity, however many requests wait at other daemons.
  */
-function withPeers(own: WaitingWork, pool: PoolCapacity): WaitingWork {
-  if (own.requests === 0) return own;
-  return { tokens: own.tokens + pool.peerQueues.tokens, requests: own.requests + pool.peerQueues.requests };
+function withPeerQueues(queueAhead: WaitingWork, pool: PoolCapacity): WaitingWork {
+  if (queueAhead.requests === 0) return queueAhead;
+  return {
+    tokens: queueAhead.tokens + pool.peerQueues.tokens,
+    requests: queueAhead.requests + pool.peerQueues.requests,
+  };
 }
 
 function prefillWaitMs(request: QueuedRequest, ahead: WaitingWork, pool: PoolCapacity): number {
   if (request.promptTokens === 0) return 0;
-  if (pool.tokensPerMs === 0) return LONGEST_RETRY_MS;
+  if (pool.tokensPerMs === 0) return MAX_RETRY_MS;
   return (pool.waitingTokens + ahead.tokens) / pool.tokensPerMs;
 }
 
 function slotWaitMs(ahead: WaitingWork, pool: PoolCapacity): number {
-  if (pool.slots === 0) return LONGEST_RETRY_MS;
+  if (pool.slots === 0) return MAX_RETRY_MS;
   const over = pool.busySlots + ahead.requests + 1 - pool.slots;
   return over <= 0 ? 0 : (over / pool.slots) * pool.slotMs;
 }
 
-/** Time for which the whole pool would be taken up by this request alone. */
-function shareOfPoolMs(request: QueuedRequest, pool: PoolCapacity): number {
+/** Milliseconds for which the request alone would occupy the whole pool. */
+function poolTimeMs(request: QueuedRequest, pool: PoolCapacity): number {
   const prefillMs = request.promptTokens === 0 || pool.tokensPerMs === 0 ? 0 : request.promptTokens / pool.tokensPerMs;
-  const slotMs = pool.slots === 0 ? LONGEST_RETRY_MS : pool.slotMs / pool.slots;
+  const slotMs = pool.slots === 0 ? MAX_RETRY_MS : pool.slotMs / pool.slots;
   return Math.max(prefillMs, slotMs);
 }
--- a/packages/core/src/attempts.ts
+++ b/packages/core/src/attempts.ts
@@ -1,78 +1,78 @@
-/** A whole answer that was kept, so that duplicates of the request get the same one. */
+/** A complete answer, kept so that duplicates of the request get the same one. */
 export interface KeptAnswer {
   readonly status: number;
   readonly contentType: string;
   readonly body: Uint8Array;
 }
 
-/** Where the one attempt of an idempotency key stands. */
+/** State of the only attempt of an idempotency key. */
 export enum AttemptState {
-  /** The claim or a former claimant's answer is awaited. */
+  /** Waiting for the claim or for a previous claimant's answer. */
   Pending = "seeking",
   Running = "running",
   Answered = "answered",
-  /** Given up before anything was dispatched; may be run under the same claim. */
+  /** Abandoned before anything was dispatched; may be run under the same claim. */
   NotRun = "not-run",
-  /** It may have run and there is no answer. */
+  /** It may have run, but there is no answer. */
   Unknown = "unknown",
   /** It ran; the answer was too large to keep. */
   NotKept = "not-kept",
-  /** Another daemon was allowed to run it in place of this one. */
+  /** Handed over to another daemon, which may run it instead. */
   Ceded = "ceded",
 }
 
-/** Which daemon and attempt has a key. */
+/** The daemon and attempt that hold an idempotency key. */
 export interface AttemptOwner {
   readonly vm: string;
   readonly incarnation: string;
   readonly attempt: string;
 }
 
-/** One key's attempt at this daemon. */
+/** The attempt of one idempotency key at this daemon. */
 export interface AttemptRecord {
   readonly key: string;
   readonly digest: string;
   /** The attempt's id in the claim. */
   readonly attempt: string;
   state: AttemptState;
-  /** Whether the claim is known to stand in the key-value service. */
+  /** Whether the claim is known to be stored in the key-value service. */
   claimed: boolean;
   answer?: KeptAnswer;
   cededTo?: AttemptOwner;
   settledAt?: number;
 }
 
-/** Limits of what is kept. */
+/** Limits on stored answers and attempts. */
 export interface AttemptLimits {
-  /** Bytes of answers kept; the oldest go first. */
+  /** Maximum bytes of stored answers; the oldest are dropped first. */
   readonly answerBytes: number;
-  /** Milliseconds that a settled attempt is remembered. */
+  /** Milliseconds for which a settled attempt is kept. */
   readonly windowMs: number;
 }
 
 /**
- * The attempts that this daemon has claimed. It is where all duplicates of a
- * key meet: the claim names this daemon, so every other daemon asks here, and
- * one loop on one thread decides. An attempt is set running at most once
- * unless it ended without having been dispatched.
+ * The attempts claimed by this daemon. The claim names this daemon, so every
+ * other daemon that gets a duplicate of the key asks this one, and a single
+ * thread decides. An attempt is started at most once, unless it ended without
+ * having been dispatched.
  */
 export class AttemptTable {
   readonly #limits: AttemptLimits;
   readonly #records = new Map<string, AttemptRecord>();
   #keptBytes = 0;
 
-  /** @param limits - bytes and time */
+  /** @param limits - limits on stored answers and attempts */
   constructor(limits: AttemptLimits) {
     this.#limits = limits;
   }
 
-  /** @returns how many keys are remembered */
+  /** @returns number of keys in the table */
   get size(): number {
     return this.#records.size;
   }
 
   /**
-   * @param key - the key
+   * @param key - the idempotency key
    * @returns its attempt at this daemon
    */
   get(key: string): AttemptRecord | undefined {
@@ -80,10 +80,12 @@
   }
 
   /**
-   * @param key - the key
+   * Adds a record for a new attempt.
+   *
+   * @param key - the idempotency key
    * @param digest - digest of the request
    * @param attempt - the attempt's id
-   * @returns the new record, seeking its claim
+   * @returns the new record, pending its claim
    */
   begin(key: string, digest: string, attempt: string): AttemptRecord {
     const record: AttemptRecord = { key, digest, attempt, state: AttemptState.Pending, claimed: false };
@@ -92,10 +94,12 @@
   }
 
   /**
+   * Records how an attempt ended and stores its answer.
+   *
    * @param record - the attempt that ended
-   * @param state - how
+   * @param state - how it ended
    * @param now - current time
-   * @param answer - the whole answer, if there is one
+   * @param answer - the complete answer, if there is one
    */
   settle(record: AttemptRecord, state: AttemptState, now: number, answer?: KeptAnswer): void {
     record.state = state;
@@ -106,28 +110,40 @@
     this.#dropOldAnswers();
   }
 
-  /** @param record - an attempt that may run now; its former end no longer counts */
-  run(record: AttemptRecord): void {
+  /**
+   * Marks an attempt as running and clears how it ended before.
+   *
+   * @param record - the attempt
+   */
+  markRunning(record: AttemptRecord): void {
     record.state = AttemptState.Running;
     delete record.settledAt;
     delete record.cededTo;
   }
 
-  /** @param key - a key whose attempt was another daemon's after all */
-  forget(key: string): void {
+  /**
+   * Removes the record of a key, for example because another daemon owns the attempt.
+   *
+   * @param key - the idempotency key
+   */
+  remove(key: string): void {
     const record = this.#records.get(key);
     if (record?.answer) this.#keptBytes -= record.answer.body.length;
     this.#records.delete(key);
   }
 
-  /** @param now - current time; settled attempts older than the window are dropped */
+  /**
+   * Removes settled attempts older than the window.
+   *
+   * @param now - current time
+   */
   expire(now: number): void {
     for (const [key, record] of this.#records) {
-      if (record.settledAt !== undefined && now - record.settledAt > this.#limits.windowMs) this.forget(key);
+      if (record.settledAt !== undefined && now - record.settledAt > this.#limits.windowMs) this.remove(key);
     }
   }
 
-  /** A record stays when its answer goes: without it a duplicate would be run again. */
+  /** Drops the oldest answers over the limit but keeps their records: without its record, a duplicate would run again. */
   #dropOldAnswers(): void {
     for (const record of this.#records.values()) {
       if (this.#keptBytes <= this.#limits.answerBytes) return;
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -22,16 +22,19 @@
 import * as timeline from "./timeline.js";
 import * as viewFreshness from "./viewFreshness.js";
 
-/** What a core is told at its start. */
+/** Options of a core. */
 export interface CoreOptions {
   readonly registration: membership.Registration;
+  /** Seed of all random numbers. */
   readonly seed: number;
   readonly policy?: servicePool.PolicySettings;
+  /** Longest time, in milliseconds, that sent bytes stay in socket buffers after their process ended. */
   readonly lingerMs?: number;
+  /** Maximum bytes of stored answers. */
   readonly answerBytes?: number;
 }
 
-/** An instant by both clocks, in milliseconds. */
+/** An instant by the monotonic and the wall clock, in milliseconds. */
 export interface Instant {
   readonly now: number;
   readonly wall: number;
@@ -41,10 +44,10 @@
 const ISOLATED_RETRY_MS = 1000;
 
 /**
- * The front door of the decisions. A daemon, a test or a trace replay
- * constructs a core, hands it events with the time, and carries out the
- * actions that come back. Nothing in here reads a clock, opens a socket, or
- * draws a random number that the seed does not determine.
+ * Entry point of the decision logic. A daemon, a test or a trace replay
+ * constructs a core, passes it events with the time, and executes the actions
+ * that it returns. The core is deterministic: it reads no clock, opens no
+ * socket, and draws all random numbers from the seed.
  *
  * @example
  * ```ts
@@ -117,8 +120,8 @@
     this.#claimDesk = new claimDesk.ClaimDesk({
       ...context,
       servingMembers,
-      onClaimAnswered: (request, verdict, standing) => {
-        this.requestManager.deduplicator.onClaimAnswered(request, verdict, standing, this.#instant.now);
+      onClaimAnswered: (request, verdict, existingClaim) => {
+        this.requestManager.deduplicator.onClaimAnswered(request, verdict, existingClaim, this.#instant.now);
       },
     });
     this.#control = new controlEvents.ControlEvents({
@@ -136,36 +139,36 @@
     });
   }
 
-  /** @returns this daemon's registration as it should stand */
+  /** @returns this daemon's registration as it should be stored */
   get registration(): membership.Registration {
     return this.#leaseDesk.registration;
   }
 
-  /** @returns the revision up to which every control record is known */
+  /** @returns the revision up to which all control records have been applied */
   get appliedRevision(): number {
     return this.#store.appliedRevision;
   }
 
-  /** @returns the id of the lease in the key-value service */
+  /** @returns the id of this daemon's lease in the key-value service, if it has one */
   get leaseId(): string | undefined {
     return this.#leaseDesk.leaseId;
   }
 
-  /** @returns whether claims wait for a write, so that the core wants to be woken soon */
+  /** @returns whether claims wait to be written, so that the next tick should come soon */
   get hasPendingClaims(): boolean {
     return this.#claimDesk.hasWaiting;
   }
 
   /**
-   * Hands the core an event.
+   * Processes an event.
    *
    * @param event - what happened
-   * @param instant - when
-   * @returns what to do, in this order
+   * @param instant - current time
+   * @returns the actions to execute, in this order
    */
   handle(event: events.CoreEvent, instant: Instant): actions.Action[] {
     this.#instant = instant;
-    this.#noticePause(instant.now);
+    this.#checkPause(instant.now);
     this.#apply(event, instant.now);
     this.#claimDesk.run(instant.now, instant.wall);
     const result = this.#actions;
@@ -174,13 +177,14 @@
   }
 
   /**
-   * Asked in the same step in which an order's bytes are written, so that no
-   * pause can come between the check and the write unnoticed.
+   * Checks whether an order may be sent. Call it in the same synchronous step
+   * that writes the order's bytes, so that no pause of the process can go
+   * unnoticed between the check and the write.
    *
    * @param shard - the endpoint's shard
    * @param epoch - the epoch of the order
    * @param now - current time
-   * @returns whether the order may still go out
+   * @returns whether the order may still be sent
    */
   maySendOrder(shard: string, epoch: number, now: number): boolean {
     return this.#leaseDesk.isValid(now) && this.shards.epochOf(shard, this.registration.incarnation) === epoch;
@@ -204,7 +208,7 @@
 
   /**
    * @param key - a control record's key
-   * @returns the record as last seen
+   * @returns the latest known record
    */
   controlRecord(key: string): keyValue.KeyRecord | undefined {
     return this.#store.get(key);
@@ -212,7 +216,7 @@
 
   /**
    * @param now - current time
-   * @returns why this daemon takes no new work, or undefined if it does
+   * @returns why this daemon accepts no new requests, or undefined if it does
    */
   refusal(now: number): common.Problem | undefined {
     if (this.registration.stopped) return common.problem(common.ProblemKind.Leaving, "the daemon is stopping");
@@ -229,7 +233,7 @@
 
   /**
    * @param now - current time
-   * @returns what peers are told in a heartbeat
+   * @returns the heartbeat for the peers
    */
   heartbeat(now: number): membership.PeerReport {
     return {
@@ -245,7 +249,7 @@
 
   /**
    * @param now - current time
-   * @returns the daemons that callers may use, this one included unless it is leaving
+   * @returns the daemons that accept callers, including this one unless it is leaving
    */
   servingMembers(now: number): membership.Registration[] {
     const peers = this.roster.peers().filter((peer) => this.roster.isServing(peer.registration.vm, now));
@@ -289,7 +293,7 @@
         this.#claimDesk.onAsked(event.claims);
         break;
       case events.EventType.ResumeBegun:
-        this.#poolOfEndpoint(event.endpoint)?.endpoint(event.endpoint)?.onDispatched(event.resume, resumedWork(now));
+        this.#poolOfEndpoint(event.endpoint)?.endpoint(event.endpoint)?.onDispatched(event.resume, resumedRequest(now));
         break;
       case events.EventType.ResumeEnded:
         this.#poolOfEndpoint(event.endpoint)?.endpoint(event.endpoint)?.onEnded(event.resume, now);
@@ -308,7 +312,7 @@
     else this.requestManager.onArrived(request, now);
   }
 
-  #noticePause(now: number): void {
+  #checkPause(now: number): void {
     const pausedMs = this.#leaseDesk.noticePause(now);
     if (pausedMs === 0) return;
     this.#freshness.onPaused();
@@ -326,7 +330,7 @@
     this.orderDesk.onTick(now);
   }
 
-  /** What walks over all services and endpoints: changes of records bring them up to date at once besides. */
+  /** Work that iterates over all services and endpoints, which record changes also update at once. */
   #onSlowTick(now: number): void {
     if (now < this.#nextSlowTickAt) return;
     this.#nextSlowTickAt = now + constants.SLOW_TICK_MS;
@@ -341,11 +345,11 @@
   }
 
   /**
-   * Nothing runs here any more and callers have been away long enough: the
-   * registration says so.
+   * Marks this daemon as stopped in its registration, once nothing runs here and
+   * callers have been away long enough.
    *
-   * @param instant - when
-   * @returns what to do
+   * @param instant - current time
+   * @returns the actions to execute
    */
   markStopped(instant: Instant): actions.Action[] {
     this.#instant = instant;
@@ -365,6 +369,6 @@
   }
 }
 
-function resumedWork(now: number): Omit<endpointModel.OutstandingRequest, "aheadTokens"> {
+function resumedRequest(now: number): Omit<endpointModel.OutstandingRequest, "aheadTokens"> {
   return { part: endpointModel.RequestPart.Decode, promptTokens: 0, outputTokens: 0, dispatchedAt: now };
 }
--- a/packages/core/src/endpointChoice.ts
+++ b/packages/core/src/endpointChoice.ts
@@ -1,36 +1,36 @@
 import type * as common from "@camphorcourse/common";
 import * as model from "./endpointModel.js";
 
-/** What the choice needs to know of a request. */
+/** Size of a request, as needed to choose endpoints. */
 export interface WorkSize {
   readonly promptTokens: number;
   readonly outputTokens: number;
   readonly prefix?: string;
-  /** Endpoints at which the request has failed; taken only if there is no other. */
+  /** Endpoints at which the request has failed; used only if there is no other. */
   readonly avoid?: ReadonlySet<string>;
 }
 
-/** Which endpoints serve a request. */
+/** The endpoints chosen for a request. */
 export interface EndpointPlan {
-  /** Takes the prompt in, when that is done apart. */
+  /** Prefills the prompt, if prefill and decode are disaggregated. */
   readonly prefill?: model.EndpointModel;
-  /** Makes the answer. */
+  /** Generates the answer. */
   readonly answer: model.EndpointModel;
-  /** Predicted milliseconds from now to the whole answer. */
+  /** Predicted milliseconds from now until the answer is complete. */
   readonly finishMs: number;
 }
 
-/** Settings of the choice. */
+/** Settings of the endpoint choice. */
 export interface ChoiceSettings {
-  /** Prompt work, in milliseconds, that a daemon lets wait at an engine. */
+  /** Maximum queued prefill work at an engine, in milliseconds, for it to get further prompts. */
   readonly prefillWindowMs: number;
-  /** Share by which two predictions may differ and still count as equal. */
+  /** Relative difference up to which two predictions count as equal. */
   readonly tieShare: number;
-  /** Whether a prefix that is probably cached makes an endpoint preferred. */
+  /** Whether endpoints that probably have the prompt's prefix cached are preferred. */
   readonly prefixAffinity: boolean;
 }
 
-/** Settings that the replay measure found best. */
+/** Default settings, the best ones in trace replays. */
 export const CHOICE_SETTINGS: ChoiceSettings = { prefillWindowMs: 400, tieShare: 0.05, prefixAffinity: true };
 
 /** Chooses endpoints for engine requests by the lowest predicted time to finish. */
@@ -39,8 +39,8 @@
   readonly #random: common.SeededRandom;
 
   /**
-   * @param random - breaks ties, so that daemons don't all take the same endpoint
-   * @param settings - windows and ties
+   * @param random - breaks ties, so that daemons don't all choose the same endpoint
+   * @param settings - settings of the choice
    */
   constructor(random: common.SeededRandom, settings: ChoiceSettings = CHOICE_SETTINGS) {
     this.#random = random;
@@ -48,6 +48,8 @@
   }
 
   /**
+   * Chooses either one endpoint for the whole request or a prefill and a decode endpoint.
+   *
    * @param endpoints - the service's endpoints
    * @param work - size of the request
    * @param now - current time
@@ -58,14 +60,19 @@
   }
 
   #plan(endpoints: readonly model.EndpointModel[], work: WorkSize, now: number): EndpointPlan | undefined {
-    const whole = this.#best(endpoints, model.RequestPart.Whole, (endpoint) => this.#wholeMs(endpoint, work, now), now);
-    const prefill = this.#best(
+    const whole = this.#bestEligible(
+      endpoints,
+      model.RequestPart.Whole,
+      (endpoint) => this.#finishMs(endpoint, work, now),
+      now,
+    );
+    const prefill = this.#bestEligible(
       endpoints,
       model.RequestPart.Prefill,
       (endpoint) => this.#prefillMs(endpoint, work, now),
       now,
     );
-    const decode = this.#best(
+    const decode = this.#bestEligible(
       endpoints,
       model.RequestPart.Decode,
       (endpoint) => work.outputTokens * endpoint.tokenMs(now),
@@ -78,10 +85,12 @@
   }
 
   /**
+   * Chooses the decode endpoint for a request whose prompt has been prefilled.
+   *
    * @param endpoints - the service's endpoints
    * @param work - size of the request
    * @param now - current time
-   * @returns the endpoint that continues from an imported KV cache
+   * @returns the endpoint that continues from an imported KV cache, if one is available
    */
   chooseDecode(
     endpoints: readonly model.EndpointModel[],
@@ -89,17 +98,23 @@
     now: number,
   ): model.EndpointModel | undefined {
     const choose = (candidates: readonly model.EndpointModel[]): model.EndpointModel | undefined =>
-      this.#best(candidates, model.RequestPart.Decode, (endpoint) => work.outputTokens * endpoint.tokenMs(now), now)
-        ?.endpoint;
+      this.#bestEligible(
+        candidates,
+        model.RequestPart.Decode,
+        (endpoint) => work.outputTokens * endpoint.tokenMs(now),
+        now,
+      )?.endpoint;
     return choose(withoutAvoided(endpoints, work)) ?? choose(endpoints);
   }
 
   /**
+   * Chooses the endpoint for a plain call.
+   *
    * @param endpoints - endpoints of a plain service
    * @param work - the call
-   * @param perEndpoint - calls that one may be given at once
+   * @param perEndpoint - maximum concurrent calls per endpoint
    * @param now - current time
-   * @returns the one with the fewest calls, if any has room
+   * @returns the available endpoint with the fewest calls in flight, if there is one
    */
   choosePlain(
     endpoints: readonly model.EndpointModel[],
@@ -107,24 +122,25 @@
     perEndpoint: number,
     now: number,
   ): model.EndpointModel | undefined {
-    const open = endpoints.filter((endpoint) => endpoint.isUsable(now) && endpoint.totalInFlight < perEndpoint);
-    const preferred = withoutAvoided(open, work);
-    return this.#lowest(preferred.length > 0 ? preferred : open, (endpoint) => endpoint.totalInFlight)?.endpoint;
+    const candidates = endpoints.filter((endpoint) => endpoint.isUsable(now) && endpoint.totalInFlight < perEndpoint);
+    const preferred = withoutAvoided(candidates, work);
+    return this.#lowest(preferred.length > 0 ? preferred : candidates, (endpoint) => endpoint.totalInFlight)?.endpoint;
   }
 
-  #best(
+  /** Returns the endpoint with the lowest cost among those that support the part and have free capacity. */
+  #bestEligible(
     endpoints: readonly model.EndpointModel[],
     part: model.RequestPart,
     costOf: (endpoint: model.EndpointModel) => number,
     now: number,
   ): { endpoint: model.EndpointModel; costMs: number } | undefined {
-    const open = endpoints.filter(
+    const candidates = endpoints.filter(
       (endpoint) => endpoint.serves(part) && endpoint.isUsable(now) && this.#hasRoom(endpoint, part, now),
     );
-    return this.#lowest(open, costOf);
+    return this.#lowest(candidates, costOf);
   }
 
-  /** Queues stay short in the engines, so that priorities and drains still mean something. */
+  /** Keeps the engines' queues short, since requests queued there no longer obey priorities and delay drains. */
   #hasRoom(endpoint: model.EndpointModel, part: model.RequestPart, now: number): boolean {
     const slotFree = part === model.RequestPart.Prefill || endpoint.streams < endpoint.slots;
     const windowOpen =
@@ -132,7 +148,7 @@
     return slotFree && windowOpen;
   }
 
-  #wholeMs(endpoint: model.EndpointModel, work: WorkSize, now: number): number {
+  #finishMs(endpoint: model.EndpointModel, work: WorkSize, now: number): number {
     return this.#prefillMs(endpoint, work, now) + work.outputTokens * endpoint.tokenMs(now);
   }
 
@@ -142,13 +158,14 @@
     return endpoint.prefillWaitMs(now) + tokens * endpoint.prefillTokenMs();
   }
 
+  /** Returns the endpoint with the lowest cost; draws one at random among ties. */
   #lowest(
     endpoints: readonly model.EndpointModel[],
     costOf: (endpoint: model.EndpointModel) => number,
   ): { endpoint: model.EndpointModel; costMs: number } | undefined {
-    const rated = endpoints.map((endpoint) => ({ endpoint, costMs: costOf(endpoint) }));
-    const lowest = Math.min(...rated.map((entry) => entry.costMs));
-    const ties = rated.filter((entry) => entry.costMs <= lowest * (1 + this.#settings.tieShare));
+    const costs = endpoints.map((endpoint) => ({ endpoint, costMs: costOf(endpoint) }));
+    const lowest = Math.min(...costs.map((entry) => entry.costMs));
+    const ties = costs.filter((entry) => entry.costMs <= lowest * (1 + this.#settings.tieShare));
     return ties[this.#random.integer(ties.length)];
   }
 }
--- a/packages/core/src/endpointModel.ts
+++ b/packages/core/src/endpointModel.ts
@@ -2,42 +2,42 @@
 import type * as engineCosts from "./engineCosts.js";
 import * as speedFactor from "./speedFactor.js";
 
-/** Which part of a request an endpoint is asked for. */
+/** Part of a request that an endpoint runs. */
 export enum RequestPart {
   /** Prompt and answer, or a whole plain call. */
   Whole = "whole",
   /** Only the prompt's KV cache. */
   Prefill = "prefill",
-  /** The answer, from a KV cache that is imported. */
+  /** The answer, from an imported KV cache. */
   Decode = "decode",
 }
 
-/** What this daemon has at an endpoint for one request. */
+/** A request of this daemon in flight at an endpoint. */
 export interface OutstandingRequest {
   readonly part: RequestPart;
   readonly promptTokens: number;
   readonly outputTokens: number;
   readonly dispatchedAt: number;
-  /** Prefill work ahead of this one at dispatch, in tokens. */
+  /** Prompt tokens ahead of this request at its dispatch. */
   readonly aheadTokens: number;
   firstTokenAt?: number;
 }
 
-/** Use of an endpoint by the other daemons, as their heartbeats tell. */
+/** Load of the other daemons at an endpoint, from their heartbeats. */
 export interface PeerLoad {
   readonly inFlight: number;
   readonly prefillTokens: number;
   readonly streams: number;
 }
 
-const FAILURES_TO_REST = 3;
-const REST_MS = 2000;
-const LONGEST_REST_MS = 15_000;
-const PREFIXES_REMEMBERED = 256;
+const FAILURES_BEFORE_BACKOFF = 3;
+const MIN_BACKOFF_MS = 2000;
+const MAX_BACKOFF_MS = 15_000;
+const MAX_PREFIXES = 256;
 
 /**
- * One endpoint as this daemon sees it: what is outstanding there, what the peers
- * have there, how fast it is compared with the prior, and whether it fails.
+ * This daemon's model of one endpoint: its own requests in flight, the peers'
+ * load, the endpoint's speed relative to the prior costs, and its failures.
  */
 export class EndpointModel {
   readonly id: string;
@@ -48,20 +48,20 @@
   #backlogTokens = 0;
   #backlogAt = 0;
   #streams = 0;
-  #peers: PeerLoad = { inFlight: 0, prefillTokens: 0, streams: 0 };
-  #peersAt = 0;
+  #peerLoad: PeerLoad = { inFlight: 0, prefillTokens: 0, streams: 0 };
+  #peerLoadAt = 0;
   readonly #prefillSpeed = new speedFactor.SpeedFactor();
   readonly #decodeSpeed = new speedFactor.SpeedFactor();
   #failures = 0;
-  #restsUntil = 0;
+  #backoffUntil = 0;
   role: configuration.EndpointRole = configuration.EndpointRole.Mixed;
-  /** False while the configuration or an order keeps new work away. */
+  /** False while the configuration or an order excludes the endpoint from new work. */
   accepting = true;
 
   /**
    * @param id - `team/endpoint`
-   * @param dataCentre - where it stands
-   * @param costs - what predictions start from
+   * @param dataCentre - its data centre
+   * @param costs - prior costs for predictions
    */
   constructor(id: string, dataCentre: string, costs: engineCosts.EngineCosts) {
     this.id = id;
@@ -69,50 +69,50 @@
     this.#costs = costs;
   }
 
-  /** @returns requests of this daemon at the endpoint */
+  /** @returns requests of this daemon in flight at the endpoint */
   get inFlight(): number {
     return this.#outstanding.size;
   }
 
-  /** @returns requests of all daemons at the endpoint, as far as known */
+  /** @returns known requests of all daemons in flight at the endpoint */
   get totalInFlight(): number {
-    return this.#outstanding.size + this.#peers.inFlight;
+    return this.#outstanding.size + this.#peerLoad.inFlight;
   }
 
   /**
    * @param now - current time
-   * @returns this daemon's prompt tokens at the endpoint that are not taken in yet, as far as can be told
+   * @returns estimate of this daemon's prompt tokens at the endpoint that are not prefilled yet
    */
   ownWaitingTokens(now: number): number {
-    return this.#aged(this.#backlogTokens, this.#backlogAt, now);
+    return this.#remainingTokens(this.#backlogTokens, this.#backlogAt, now);
   }
 
-  /** @returns this daemon's sequences at the endpoint */
+  /** @returns this daemon's sequences that decode at the endpoint, or will */
   get ownStreams(): number {
     return this.#streams;
   }
 
-  /** @returns sequences of all daemons that decode or will */
+  /** @returns sequences of all daemons that decode at the endpoint, or will */
   get streams(): number {
-    return this.#streams + this.#peers.streams;
+    return this.#streams + this.#peerLoad.streams;
   }
 
-  /** @returns sequences that may decode side by side in the present role */
+  /** @returns maximum sequences that decode concurrently in the current role */
   get slots(): number {
     return this.#costs.roles[this.role].slots;
   }
 
   /**
    * @param now - current time
-   * @returns whether new work may be given
+   * @returns whether the endpoint may get new work
    */
   isUsable(now: number): boolean {
-    return this.accepting && now >= this.#restsUntil;
+    return this.accepting && now >= this.#backoffUntil;
   }
 
   /**
    * @param part - part of a request
-   * @returns whether the present role serves it
+   * @returns whether the current role serves it
    */
   serves(part: RequestPart): boolean {
     if (this.role === configuration.EndpointRole.Mixed) return part === RequestPart.Whole;
@@ -121,13 +121,13 @@
 
   /**
    * @param now - current time
-   * @returns prompt tokens of all daemons that wait at the endpoint
+   * @returns estimate of all daemons' prompt tokens at the endpoint that are not prefilled yet
    */
   waitingTokens(now: number): number {
-    return this.ownWaitingTokens(now) + this.#aged(this.#peers.prefillTokens, this.#peersAt, now);
+    return this.ownWaitingTokens(now) + this.#remainingTokens(this.#peerLoad.prefillTokens, this.#peerLoadAt, now);
   }
 
-  /** @returns milliseconds that one prompt token takes while the endpoint is busy */
+  /** @returns milliseconds to prefill one prompt token while the endpoint is busy */
   prefillTokenMs(): number {
     const { chunkTokens } = this.#costs.roles[this.role];
     if (chunkTokens === 0) return Number.POSITIVE_INFINITY;
@@ -138,7 +138,7 @@
 
   /**
    * @param now - current time
-   * @returns milliseconds between two tokens if one more sequence decodes
+   * @returns milliseconds per output token with one more sequence decoding
    */
   tokenMs(now: number): number {
     const streams = Math.min(this.streams + 1, Math.max(1, this.slots));
@@ -147,7 +147,7 @@
 
   /**
    * @param now - current time
-   * @returns milliseconds until the prompt tokens that wait have been taken in
+   * @returns milliseconds until the waiting prompt tokens have been prefilled
    */
   prefillWaitMs(now: number): number {
     const tokens = this.waitingTokens(now);
@@ -155,8 +155,10 @@
   }
 
   /**
+   * Records the dispatch of a request.
+   *
    * @param request - id of the request
-   * @param entry - what is dispatched
+   * @param entry - the dispatched part and its size
    */
   onDispatched(request: string, entry: Omit<OutstandingRequest, "aheadTokens">): void {
     this.#outstanding.set(request, { ...entry, aheadTokens: this.waitingTokens(entry.dispatchedAt) });
@@ -168,7 +170,7 @@
   }
 
   /**
-   * The prompt has been taken in.
+   * Records that the prompt has been prefilled.
    *
    * @param request - id of the request
    * @param now - current time
@@ -183,11 +185,11 @@
   }
 
   /**
-   * The request has ended here, well or not.
+   * Records the end of a request at this endpoint, successful or not.
    *
    * @param request - id of the request
    * @param now - current time
-   * @param outputTokens - tokens that it made, if it ended well
+   * @param outputTokens - number of generated tokens, if it succeeded
    */
   onEnded(request: string, now: number, outputTokens?: number): void {
     const entry = this.#outstanding.get(request);
@@ -198,73 +200,81 @@
     if (outputTokens !== undefined) this.#learnDecode(entry, outputTokens, now);
   }
 
-  /** @param now - current time; the endpoint answered as it should */
+  /**
+   * Records a success and ends any backoff.
+   *
+   * @param now - current time
+   */
   onSuccess(now: number): void {
     this.#failures = 0;
-    this.#restsUntil = Math.min(this.#restsUntil, now);
+    this.#backoffUntil = Math.min(this.#backoffUntil, now);
   }
 
   /**
-   * An endpoint that can't be reached, or fails several times in a row, gets a
-   * rest, longer each time: a crashed engine fails fastest and would otherwise
-   * look least loaded and draw all requests.
+   * Records a failure. An endpoint that can't be reached, or that fails several
+   * times in a row, is excluded for an exponential backoff: a crashed engine fails
+   * fastest, so it would otherwise look least loaded and attract all requests.
    *
    * @param now - current time
    * @param reachable - whether the endpoint could be reached at all
    */
   onFailure(now: number, reachable: boolean): void {
-    this.#failures = reachable ? this.#failures + 1 : Math.max(this.#failures + 1, FAILURES_TO_REST);
-    if (this.#failures < FAILURES_TO_REST) return;
-    const rest = REST_MS * 2 ** Math.min(this.#failures - FAILURES_TO_REST, 4);
-    this.#restsUntil = now + Math.min(rest, LONGEST_REST_MS);
+    this.#failures = reachable ? this.#failures + 1 : Math.max(this.#failures + 1, FAILURES_BEFORE_BACKOFF);
+    if (this.#failures < FAILURES_BEFORE_BACKOFF) return;
+    const backoffMs = MIN_BACKOFF_MS * 2 ** Math.min(this.#failures - FAILURES_BEFORE_BACKOFF, 4);
+    this.#backoffUntil = now + Math.min(backoffMs, MAX_BACKOFF_MS);
   }
 
   /**
-   * @param use - what the peers have at the endpoint
+   * Replaces the known load of the peers.
+   *
+   * @param load - the peers' load at the endpoint
    * @param now - current time
    */
-  onPeerLoad(use: PeerLoad, now: number): void {
-    this.#peers = use;
-    this.#peersAt = now;
+  onPeerLoad(load: PeerLoad, now: number): void {
+    this.#peerLoad = load;
+    this.#peerLoadAt = now;
   }
 
   /**
-   * @param prefix - beginning of a prompt
-   * @returns its tokens that are probably cached here; a hint, never relied on
+   * @param prefix - prefix of a prompt
+   * @returns number of its tokens that are probably cached here; only a hint
    */
   cachedTokens(prefix: string | undefined): number {
     return prefix === undefined ? 0 : (this.#prefixes.get(prefix) ?? 0);
   }
 
   /**
-   * @param prefix - beginning of a prompt that the endpoint takes in
-   * @param tokens - its length
+   * Records a prefix that the endpoint will have cached; drops the oldest one over the limit.
+   *
+   * @param prefix - prefix of a prompt dispatched to the endpoint
+   * @param tokens - length of the prompt
    */
   rememberPrefix(prefix: string, tokens: number): void {
     this.#prefixes.delete(prefix);
     this.#prefixes.set(prefix, tokens);
-    if (this.#prefixes.size <= PREFIXES_REMEMBERED) return;
+    if (this.#prefixes.size <= MAX_PREFIXES) return;
     const oldest = this.#prefixes.keys().next().value;
     if (oldest !== undefined) this.#prefixes.delete(oldest);
   }
 
-  /** A role change empties the endpoint's caches. */
+  /** Clears the known prefixes, as a role change empties the endpoint's caches. */
   forgetPrefixes(): void {
     this.#prefixes.clear();
   }
 
-  /** Work that was there at some time and has been worked off since. */
-  #aged(tokens: number, at: number, now: number): number {
+  /** Prompt tokens that remain of a backlog known at an earlier time, given the prefill speed. */
+  #remainingTokens(tokens: number, at: number, now: number): number {
     return tokens === 0 ? 0 : Math.max(0, tokens - (now - at) / this.prefillTokenMs());
   }
 
-  /** A prompt has been taken in: no more can wait than the others have. */
+  /** Limits the backlog, after a prefill has ended, to the prompts of the other requests in flight. */
   #correctBacklog(now: number): void {
-    let left = 0;
+    let remaining = 0;
     for (const entry of this.#outstanding.values()) {
-      if (entry.firstTokenAt === undefined && entry.part !== RequestPart.Decode) left += entry.promptTokens;
+      if (entry.firstTokenAt === undefined && entry.part !== RequestPart.Decode) remaining += entry.promptTokens;
     }
-    this.#backlogTokens = Math.min(left, this.ownWaitingTokens(now));
+    this.#backlogTokens = Math.min(remaining, this.ownWaitingTokens(now));
     this.#backlogAt = now;
   }
 
@@ -281,7 +291,7 @@
   #learnPrefill(entry: OutstandingRequest, tookMs: number): void {
     const tokens = entry.aheadTokens + entry.promptTokens;
     const unscaled = (tokens * this.prefillTokenMs()) / this.#prefillSpeed.factor;
-    // Whatever its length, a prompt waits for the step under way and takes one itself.
+    // A prompt of any length waits for the current step and takes at least one step itself.
     this.#prefillSpeed.learn(unscaled + 2 * this.#costs.stepBaseMs, tookMs);
   }
 
--- a/packages/core/src/engineCosts.ts
+++ b/packages/core/src/engineCosts.ts
@@ -1,14 +1,14 @@
 import * as configuration from "./configuration.js";
 
-/** What one role of an engine can do, as planned with until observations correct it. */
+/** Assumed limits of an engine in one role. */
 export interface RoleCapacity {
-  /** Prompt tokens that one step takes in at most. */
+  /** Maximum prompt tokens prefilled in one step. */
   readonly chunkTokens: number;
-  /** Sequences that decode side by side at most. */
+  /** Maximum sequences that decode concurrently. */
   readonly slots: number;
 }
 
-/** Costs of an engine's steps in milliseconds. */
+/** Costs of an engine's steps and role changes, in milliseconds. */
 export interface EngineCosts {
   readonly stepBaseMs: number;
   readonly prefillTokenMs: number;
@@ -18,8 +18,8 @@
 }
 
 /**
- * The shape that predictions start from; each endpoint's own speed is learned as
- * a factor on it. The figures are assumed for a mid-sized model.
+ * Prior costs for predictions, assumed for a mid-sized model. Each endpoint's
+ * actual speed is learned as a factor on them.
  */
 export const PRIOR_COSTS: EngineCosts = {
   stepBaseMs: 6,
@@ -33,23 +33,23 @@
   },
 };
 
-/** Engine time, in milliseconds, that a request takes from each kind of engine when batches are full. */
+/** Engine time in milliseconds that requests need in each engine role, with full batches. */
 export interface Demand {
-  /** From a prefill engine. */
+  /** On a prefill engine. */
   readonly prefillMs: number;
-  /** From a decode engine. */
+  /** On a decode engine. */
   readonly decodeMs: number;
-  /** From a mixed engine that does both. */
+  /** On a mixed engine, for prefill and decode together. */
   readonly mixedMs: number;
 }
 
-/** No work. */
+/** Demand of no requests. */
 export const NO_DEMAND: Demand = { prefillMs: 0, decodeMs: 0, mixedMs: 0 };
 
 /**
- * @param left - some work
- * @param right - more work
- * @returns both together
+ * @param left - a demand
+ * @param right - another demand
+ * @returns their sum
  */
 export function sumOf(left: Demand, right: Demand): Demand {
   return {
@@ -60,18 +60,18 @@
 }
 
 /**
- * @param left - some work
- * @param factor - what to multiply it with
+ * @param demand - a demand
+ * @param factor - the multiplier
  * @returns the product
  */
-export function scaled(left: Demand, factor: number): Demand {
-  return { prefillMs: left.prefillMs * factor, decodeMs: left.decodeMs * factor, mixedMs: left.mixedMs * factor };
+export function scaled(demand: Demand, factor: number): Demand {
+  return { prefillMs: demand.prefillMs * factor, decodeMs: demand.decodeMs * factor, mixedMs: demand.mixedMs * factor };
 }
 
 /**
- * @param left - some work
- * @param right - a part of it
- * @returns the rest
+ * @param left - a demand
+ * @param right - the demand to subtract
+ * @returns the difference
  */
 export function differenceOf(left: Demand, right: Demand): Demand {
   return sumOf(left, scaled(right, -1));
@@ -80,8 +80,8 @@
 /**
  * @param costs - the engine's costs
  * @param promptTokens - prompt tokens that are not cached
- * @param outputTokens - tokens expected in the answer
- * @returns the engine time it takes
+ * @param outputTokens - expected tokens of the answer
+ * @returns the engine time that the request needs
  */
 export function demandOf(costs: EngineCosts, promptTokens: number, outputTokens: number): Demand {
   const prefill = costs.roles[configuration.EndpointRole.Prefill];
--- a/packages/core/src/events.ts
+++ b/packages/core/src/events.ts
@@ -4,7 +4,7 @@
 import type * as keyValue from "./keyValueTypes.js";
 import type * as membership from "./membership.js";
 
-/** The kinds of event that the core is handed. */
+/** Kinds of events that the core processes. */
 export enum EventType {
   Tick = "tick",
   RequestArrived = "request-arrived",
@@ -36,30 +36,30 @@
   StopAsked = "stop-asked",
 }
 
-/** How far a failed attempt can have got. */
+/** Whether a failed attempt was sent and may have run. */
 export enum SendOutcome {
-  /** No byte of it left this process. */
+  /** No byte of it was sent. */
   NeverSent = "never-sent",
-  /** The endpoint says itself that it did not run. */
+  /** The endpoint answered that it did not run. */
   NotRun = "not-run",
   MayHaveRun = "may-have-run",
 }
 
-/** How a join at another daemon ended. */
+/** Outcome of a join, by which a duplicate asks another daemon for the answer of its key's attempt. */
 export enum JoinVerdict {
   Answered = "answered",
-  /** It never ran there; the asker may run it. */
+  /** The attempt never ran there and is handed over: the asker may run it. */
   Ceded = "ceded",
-  /** It was ceded to yet another attempt. */
+  /** It was already handed over to another attempt. */
   Moved = "moved",
-  /** It was given up before it ran, while the asker waited. */
+  /** It was abandoned before it ran, while the asker waited. */
   NotRun = "not-run",
   Unknown = "unknown",
   NotKept = "not-kept",
   KeyReused = "key-reused",
 }
 
-/** A request as a caller sent it, reduced to what decisions need. */
+/** The properties of a caller's request that decisions need. */
 export interface RequestDescription {
   readonly id: string;
   readonly team: string;
@@ -70,26 +70,26 @@
   readonly prefix?: string;
   readonly deadlineMs?: number;
   readonly priority?: number;
-  /** Scoped idempotency key, if the caller gave one. */
+  /** Scoped idempotency key, if the caller sent one. */
   readonly key?: string;
-  /** Digest of the request, given with the key. */
+  /** Digest of the request, present together with the key. */
   readonly digest?: string;
-  /** Equal for equal requests, so that one that comes back when told is known again. */
+  /** Equal for equal requests; recognises the retry of a refused request. */
   readonly fingerprint?: string;
 }
 
-/** How an order at an endpoint ended. */
+/** Outcome of an order to an endpoint. */
 export enum OrderOutcome {
   Confirmed = "confirmed",
-  /** The endpoint has seen a newer fencing number. */
+  /** Rejected: the endpoint has seen a newer fencing number. */
   Stale = "stale",
-  /** It never left. */
+  /** No byte of it was sent. */
   NotSent = "not-sent",
-  /** Sent; the reply was lost. Its connection has been reset. */
+  /** Sent, but the reply was lost; its connection has been reset. */
   Unknown = "unknown",
 }
 
-/** What an endpoint reports of itself. */
+/** Load report of an endpoint. */
 export interface LoadReport {
   readonly endpoint: string;
   readonly running: number;
@@ -97,7 +97,7 @@
   readonly role?: configuration.EndpointRole;
 }
 
-/** Everything that can happen to a daemon. */
+/** An event that a daemon passes to its core. */
 export type CoreEvent =
   | { readonly type: EventType.Tick }
   | { readonly type: EventType.RequestArrived; readonly request: RequestDescription }
@@ -148,7 +148,7 @@
   | {
       readonly type: EventType.ControlChanges;
       readonly records: readonly keyValue.KeyRecord[];
-      /** Set when these are all changes up to this revision. */
+      /** Set if these are all changes up to this revision. */
       readonly completeRevision?: number;
     }
   | { readonly type: EventType.KeyValueResponded; readonly revision: number }
@@ -175,7 +175,7 @@
       readonly incarnation: string;
       readonly reset: boolean;
     }
-  /** A caller takes up, through this daemon, a stream that another one began. */
+  /** A caller resumes, through this daemon, a stream that another daemon started. */
   | { readonly type: EventType.ResumeBegun; readonly resume: string; readonly endpoint: string }
   | { readonly type: EventType.ResumeEnded; readonly resume: string; readonly endpoint: string }
   | { readonly type: EventType.StopAsked };
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * The decisions of a daemon, without input or output. {@link Core} is the
- * front door; the other modules can each be driven alone.
+ * The decision logic of a daemon, without input or output. {@link Core} is the
+ * entry point; the other modules can also be used on their own.
  */
 export * from "./actions.js";
 export * from "./admission.js";
--- a/packages/core/src/liveRequest.ts
+++ b/packages/core/src/liveRequest.ts
@@ -6,14 +6,15 @@
 import type * as endpointModel from "./endpointModel.js";
 import type * as servicePool from "./servicePool.js";
 
-/** Where a request stands. */
+/** Phase of a live request. */
 export enum RequestPhase {
+  /** Waits for the claim of its idempotency key. */
   Claiming = "claiming",
-  /** Waits for the answer of another attempt of its key. */
+  /** Waits for the answer of another attempt with the same key. */
   Joining = "joining",
   Queued = "queued",
   Prefilling = "prefilling",
-  /** Its KV cache is ready; it waits for a place at a decoding endpoint. */
+  /** Prefilled; waits for a slot at a decode endpoint. */
   HandingOff = "handing-off",
   Answering = "answering",
 }
@@ -33,19 +34,19 @@
   dispatchedAt: number;
   handoff?: actions.Handoff;
   record?: attempts.AttemptRecord;
-  /** The caller went away after it had received a part. */
+  /** The caller has disconnected. */
   abandoned: boolean;
   firstTokenSeen: boolean;
 }
 
-/** What the desk asks of its surroundings. */
+/** Dependencies of the request manager on the rest of the daemon. */
 export interface RequestManagerContext {
   readonly vm: string;
   readonly incarnation: string;
   readonly random: common.SeededRandom;
   poolOf(service: string): servicePool.ServicePool | undefined;
   urlOf(endpoint: string): string | undefined;
-  /** The answer comes with `DuplicateDesk.onClaimAnswered`. */
+  /** The outcome is passed to `RequestDeduplicator.onClaimAnswered`. */
   requestClaim(request: string, claim: claims.Claim): void;
   emit(action: actions.Action): void;
 }
--- a/packages/core/src/requestDeduplicator.ts
+++ b/packages/core/src/requestDeduplicator.ts
@@ -7,76 +7,85 @@
 import * as requestProblems from "./requestProblems.js";
 import * as timeline from "./timeline.js";
 
-/** What the desk asks of the one that runs requests. */
+/** Operations on live requests that the deduplicator needs. */
 export interface RequestOperations {
   get(id: string): liveRequest.LiveRequest | undefined;
   admit(request: liveRequest.LiveRequest, now: number): void;
   refuse(request: liveRequest.LiveRequest, problem: common.Problem, now: number): void;
-  /** Whether the request can't be in time, as far as can be told. */
-  lateProblem(request: liveRequest.LiveRequest, now: number): common.Problem | undefined;
-  /** Takes a request off the live ones; false if it was none. */
+  /** Returns why the request can't be admitted now, for example because it can't meet its deadline. */
+  admissionProblem(request: liveRequest.LiveRequest, now: number): common.Problem | undefined;
+  /** Removes a live request; returns false if there was none. */
   close(id: string): boolean;
   note(kind: timeline.EventKind, request: liveRequest.LiveRequest, fields: Record<string, common.Field>): void;
 }
 
 /**
- * Where deliveries of one idempotency key meet. The first claims the key and
- * runs; the others, here or at other daemons, wait for its answer.
+ * Merges requests with the same idempotency key. The first one claims the key
+ * and runs; the others, at this or at other daemons, wait for its answer.
  */
 export class RequestDeduplicator {
   readonly #context: liveRequest.RequestManagerContext;
-  readonly #owner: RequestOperations;
+  readonly #requests: RequestOperations;
   readonly #attempts: attempts.AttemptTable;
-  readonly #joinersByKey = new Map<string, Set<string>>();
+  readonly #localJoinersByKey = new Map<string, Set<string>>();
   readonly #remoteJoinsByKey = new Map<string, Set<string>>();
 
   /**
-   * @param context - the daemon round the desk
-   * @param owner - runs requests
-   * @param attemptBook - the attempts claimed by this daemon
+   * @param context - dependencies on the rest of the daemon
+   * @param owner - operations on live requests
+   * @param attemptTable - the attempts claimed by this daemon
    */
   constructor(
     context: liveRequest.RequestManagerContext,
-    owner: RequestOperations,
-    attemptBook: attempts.AttemptTable,
+    requests: RequestOperations,
+    attemptTable: attempts.AttemptTable,
   ) {
     this.#context = context;
-    this.#owner = owner;
-    this.#attempts = attemptBook;
+    this.#requests = requests;
+    this.#attempts = attemptTable;
   }
 
   /**
-   * @param id - the request
-   * @param verdict - what became of its claim
-   * @param standing - the claim that stands, when another has the key
+   * Handles the outcome of a claim.
+   *
+   * @param id - id of the request
+   * @param verdict - outcome of its claim
+   * @param existingClaim - the existing claim, if another attempt holds the key
    * @param now - current time
    */
-  onClaimAnswered(id: string, verdict: claims.ClaimVerdict, standing: claims.Claim | undefined, now: number): void {
-    const request = this.#owner.get(id);
+  onClaimAnswered(
+    id: string,
+    verdict: claims.ClaimVerdict,
+    existingClaim: claims.Claim | undefined,
+    now: number,
+  ): void {
+    const request = this.#requests.get(id);
     const record = request?.record;
     if (!request || !record || request.phase !== liveRequest.RequestPhase.Claiming) return;
     if (verdict === claims.ClaimVerdict.Granted) {
       record.claimed = true;
-      this.#attempts.run(record);
-      this.#owner.note(timeline.EventKind.RequestClaimed, request, { attempt: record.attempt });
-      this.#owner.admit(request, now);
+      this.#attempts.markRunning(record);
+      this.#requests.note(timeline.EventKind.RequestClaimed, request, { attempt: record.attempt });
+      this.#requests.admit(request, now);
       return;
     }
-    if (verdict === claims.ClaimVerdict.Taken && standing) {
-      this.#joinStanding(request, standing, now);
+    if (verdict === claims.ClaimVerdict.Taken && existingClaim) {
+      this.#joinExistingClaim(request, existingClaim, now);
       return;
     }
-    // The write may still stand, so the attempt is remembered: a duplicate that
-    // finds the claim comes back here and may run it, as nothing was dispatched.
-    this.#owner.refuse(request, requestProblems.claimUnavailable(), now);
+    // The claim may have been written, so the record is kept: a duplicate that finds
+    // the claim asks this daemon and may run the attempt, as nothing was dispatched.
+    this.#requests.refuse(request, requestProblems.claimUnavailable(), now);
   }
 
   /**
-   * @param event - how the join at another daemon ended
+   * Handles the outcome of a join at another daemon.
+   *
+   * @param event - the outcome
    * @param now - current time
    */
   onJoinAnswered(event: Extract<events.CoreEvent, { type: events.EventType.JoinAnswered }>, now: number): void {
-    const request = this.#owner.get(event.request);
+    const request = this.#requests.get(event.request);
     if (request?.phase !== liveRequest.RequestPhase.Joining || !request.record) return;
     if (event.verdict === events.JoinVerdict.Answered && event.answer) {
       this.settle(request.record, attempts.AttemptState.Answered, now, event.answer);
@@ -84,8 +93,8 @@
     }
     if (event.verdict === events.JoinVerdict.Ceded) {
       request.record.claimed = true;
-      this.#attempts.run(request.record);
-      this.#owner.admit(request, now);
+      this.#attempts.markRunning(request.record);
+      this.#requests.admit(request, now);
       return;
     }
     if (
@@ -97,14 +106,14 @@
       return;
     }
     const { key } = request.record;
-    this.#owner.refuse(request, requestProblems.joinProblem(event.verdict), now);
-    this.#attempts.forget(key);
+    this.#requests.refuse(request, requestProblems.joinProblem(event.verdict), now);
+    this.#attempts.remove(key);
   }
 
   /**
-   * Another daemon asks for the answer of an attempt that was claimed here.
+   * Handles another daemon's request for the answer of an attempt claimed here.
    *
-   * @param event - the question
+   * @param event - the join request
    */
   onJoinAsked(event: Extract<events.CoreEvent, { type: events.EventType.JoinAsked }>): void {
     const record = this.#attempts.get(event.key);
@@ -116,8 +125,8 @@
         ...(movedTo ? { movedTo } : {}),
       });
     };
-    const known = event.incarnation === this.#context.incarnation && record?.attempt === event.attempt;
-    if (!record || !known) answer(events.JoinVerdict.Unknown);
+    const isKnown = event.incarnation === this.#context.incarnation && record?.attempt === event.attempt;
+    if (!record || !isKnown) answer(events.JoinVerdict.Unknown);
     else if (record.digest !== event.digest) answer(events.JoinVerdict.KeyReused);
     else if (record.state === attempts.AttemptState.NotRun) {
       record.claimed = true;
@@ -125,19 +134,19 @@
       record.cededTo = event.asker;
       answer(events.JoinVerdict.Ceded);
     } else if (record.state === attempts.AttemptState.Ceded) {
-      const again = record.cededTo?.attempt === event.asker.attempt;
-      answer(again ? events.JoinVerdict.Ceded : events.JoinVerdict.Moved, record.cededTo);
+      const isSameAsker = record.cededTo?.attempt === event.asker.attempt;
+      answer(isSameAsker ? events.JoinVerdict.Ceded : events.JoinVerdict.Moved, record.cededTo);
     } else {
-      addTo(this.#remoteJoinsByKey, event.key, event.join);
+      addToSet(this.#remoteJoinsByKey, event.key, event.join);
       this.#answerJoinersIfSettled(record);
     }
   }
 
   /**
-   * A request with an idempotency key has come.
+   * Claims the key of a new request, or joins it to the attempt that holds the key.
    *
    * @param request - the request
-   * @param key - its scoped key
+   * @param key - its scoped idempotency key
    * @param now - current time
    */
   begin(request: liveRequest.LiveRequest, key: string, now: number): void {
@@ -147,10 +156,10 @@
       this.#joinLocal(request, present, digest, now);
       return;
     }
-    // Refusing before the claim is written leaves nothing behind to clear up.
-    const late = this.#owner.lateProblem(request, now);
-    if (late) {
-      this.#owner.refuse(request, late, now);
+    // Refusing before the claim is written leaves nothing to clean up.
+    const problem = this.#requests.admissionProblem(request, now);
+    if (problem) {
+      this.#requests.refuse(request, problem, now);
       return;
     }
     const attempt = this.#context.random.identifier();
@@ -160,13 +169,13 @@
 
   #joinLocal(request: liveRequest.LiveRequest, record: attempts.AttemptRecord, digest: string, now: number): void {
     if (record.digest !== digest) {
-      this.#owner.refuse(request, requestProblems.keyReused(), now);
+      this.#requests.refuse(request, requestProblems.keyReused(), now);
       return;
     }
-    this.#owner.note(timeline.EventKind.RequestJoined, request, { attempt: record.attempt });
+    this.#requests.note(timeline.EventKind.RequestJoined, request, { attempt: record.attempt });
     if (record.state === attempts.AttemptState.NotRun) {
       request.record = record;
-      this.#takeUp(request, record, now);
+      this.#runAbandonedAttempt(request, record, now);
       return;
     }
     request.phase = liveRequest.RequestPhase.Joining;
@@ -175,15 +184,15 @@
       this.#askJoin(request, record.cededTo);
       return;
     }
-    addTo(this.#joinersByKey, record.key, request.description.id);
+    addToSet(this.#localJoinersByKey, record.key, request.description.id);
     this.#answerJoinersIfSettled(record);
   }
 
-  /** The key's attempt was given up before it was dispatched: this request runs it. */
-  #takeUp(request: liveRequest.LiveRequest, record: attempts.AttemptRecord, now: number): void {
+  /** Lets this request run the key's attempt, which was abandoned before it was dispatched. */
+  #runAbandonedAttempt(request: liveRequest.LiveRequest, record: attempts.AttemptRecord, now: number): void {
     if (record.claimed) {
-      this.#attempts.run(record);
-      this.#owner.admit(request, now);
+      this.#attempts.markRunning(record);
+      this.#requests.admit(request, now);
       return;
     }
     record.state = attempts.AttemptState.Pending;
@@ -202,21 +211,24 @@
     });
   }
 
-  #joinStanding(request: liveRequest.LiveRequest, standing: claims.Claim, now: number): void {
-    if (standing.digest !== request.record?.digest) {
-      this.#attempts.forget(standing.key);
-      this.#owner.refuse(request, requestProblems.keyReused(), now);
+  #joinExistingClaim(request: liveRequest.LiveRequest, existingClaim: claims.Claim, now: number): void {
+    if (existingClaim.digest !== request.record?.digest) {
+      this.#attempts.remove(existingClaim.key);
+      this.#requests.refuse(request, requestProblems.keyReused(), now);
       return;
     }
     request.phase = liveRequest.RequestPhase.Joining;
-    this.#owner.note(timeline.EventKind.RequestJoined, request, { owner: standing.vm, attempt: standing.attempt });
-    this.#askJoin(request, standing);
+    this.#requests.note(timeline.EventKind.RequestJoined, request, {
+      owner: existingClaim.vm,
+      attempt: existingClaim.attempt,
+    });
+    this.#askJoin(request, existingClaim);
   }
 
   #askJoin(request: liveRequest.LiveRequest, owner: attempts.AttemptOwner): void {
     const { record } = request;
     if (!record) return;
-    addTo(this.#joinersByKey, record.key, request.description.id);
+    addToSet(this.#localJoinersByKey, record.key, request.description.id);
     this.#context.emit({
       type: actions.ActionType.AskJoin,
       request: request.description.id,
@@ -229,12 +241,12 @@
   }
 
   /**
-   * An attempt of this daemon has ended: duplicates that wait get its outcome.
+   * Records how an attempt of this daemon ended and answers its waiting duplicates.
    *
    * @param record - the attempt
    * @param state - how it ended
    * @param now - current time
-   * @param answer - the whole answer, if there is one
+   * @param answer - the complete answer, if there is one
    */
   settle(
     record: attempts.AttemptRecord,
@@ -246,16 +258,16 @@
     this.#answerJoinersIfSettled(record);
   }
 
-  /** Gives every duplicate that waits the outcome of the one attempt. */
+  /** Sends the attempt's outcome, if it has one, to every waiting duplicate. */
   #answerJoinersIfSettled(record: attempts.AttemptRecord): void {
     const verdict = settledVerdict(record);
     if (!verdict) return;
     const { answer } = record;
-    for (const join of takeAll(this.#remoteJoinsByKey, record.key)) {
+    for (const join of removeAll(this.#remoteJoinsByKey, record.key)) {
       this.#context.emit({ type: actions.ActionType.AnswerJoin, join, verdict, ...(answer ? { answer } : {}) });
     }
-    for (const id of takeAll(this.#joinersByKey, record.key)) {
-      if (!this.#owner.close(id)) continue;
+    for (const id of removeAll(this.#localJoinersByKey, record.key)) {
+      if (!this.#requests.close(id)) continue;
       if (answer) this.#context.emit({ type: actions.ActionType.Relay, request: id, answer });
       else
         this.#context.emit({
@@ -271,19 +283,19 @@
   if (record.answer) return events.JoinVerdict.Answered;
   if (record.state === attempts.AttemptState.NotKept) return events.JoinVerdict.NotKept;
   if (record.state === attempts.AttemptState.Unknown) return events.JoinVerdict.Unknown;
-  // Duplicates that waited are all told that it did not run: were one of them
-  // let run it, "not run" would soon be untrue for the others. They may come again.
+  // All waiting duplicates are told that it did not run, and may retry. If one of
+  // them could run it now, "not run" would soon be wrong for the others.
   if (record.state === attempts.AttemptState.NotRun) return events.JoinVerdict.NotRun;
   return undefined;
 }
 
-function addTo(sets: Map<string, Set<string>>, key: string, value: string): void {
+function addToSet(sets: Map<string, Set<string>>, key: string, value: string): void {
   const present = sets.get(key) ?? new Set<string>();
   present.add(value);
   sets.set(key, present);
 }
 
-function takeAll(sets: Map<string, Set<string>>, key: string): string[] {
+function removeAll(sets: Map<string, Set<string>>, key: string): string[] {
   const values = [...(sets.get(key) ?? [])];
   sets.delete(key);
   return values;
--- a/packages/core/src/requestManager.ts
+++ b/packages/core/src/requestManager.ts
@@ -12,9 +12,9 @@
 import type * as servicePool from "./servicePool.js";
 import * as timeline from "./timeline.js";
 
-const MODEL_RETRY_MS = 1000;
+const MIN_RETRY_MS = 1000;
 
-/** The life of each request at this daemon, from arrival to its one answer. */
+/** Manages each request at this daemon from its arrival to its final answer. */
 export class RequestManager {
   readonly deduplicator: requestDeduplicator.RequestDeduplicator;
   readonly #context: liveRequest.RequestManagerContext;
@@ -23,16 +23,16 @@
   readonly #handingOff = new Set<liveRequest.LiveRequest>();
 
   /**
-   * @param context - the daemon round the desk
-   * @param attemptBook - the attempts claimed by this daemon
+   * @param context - dependencies on the rest of the daemon
+   * @param attemptTable - the attempts claimed by this daemon
    */
-  constructor(context: liveRequest.RequestManagerContext, attemptBook: attempts.AttemptTable) {
+  constructor(context: liveRequest.RequestManagerContext, attemptTable: attempts.AttemptTable) {
     this.#context = context;
-    this.#attempts = attemptBook;
-    const owner: requestDeduplicator.RequestOperations = {
+    this.#attempts = attemptTable;
+    const operations: requestDeduplicator.RequestOperations = {
       get: (id) => this.#live.get(id),
       close: (id) => this.#live.delete(id),
-      lateProblem: (request, now) => this.#lateProblem(request, now),
+      admissionProblem: (request, now) => this.#admissionProblem(request, now),
       admit: (request, now) => {
         this.#admit(request, now);
       },
@@ -43,22 +43,24 @@
         this.#note(kind, request, fields);
       },
     };
-    this.deduplicator = new requestDeduplicator.RequestDeduplicator(context, owner, attemptBook);
+    this.deduplicator = new requestDeduplicator.RequestDeduplicator(context, operations, attemptTable);
   }
 
-  /** @returns requests that have no final answer yet */
+  /** @returns number of requests that have no final answer yet */
   get size(): number {
     return this.#live.size;
   }
 
   /**
+   * Admits, joins or refuses a new request.
+   *
    * @param description - the request
    * @param now - current time
    */
   onArrived(description: events.RequestDescription, now: number): void {
     const pool = this.#context.poolOf(description.service);
     if (!pool) {
-      this.#refuseUnknown(description);
+      this.#refuseUnknownService(description);
       return;
     }
     const request = this.#open(description, pool, now);
@@ -69,12 +71,14 @@
   }
 
   /**
-   * @param id - the request
-   * @param attempt - the attempt that took the prompt in
+   * Records that a prompt has been prefilled and hands the request over to a decode endpoint.
+   *
+   * @param id - id of the request
+   * @param attempt - the attempt that prefilled the prompt
    * @param now - current time
    */
   onPrefillDone(id: string, attempt: string, now: number): void {
-    const request = this.#current(id, attempt);
+    const request = this.#findCurrent(id, attempt);
     if (request?.phase !== liveRequest.RequestPhase.Prefilling) return;
     request.endpoint?.onEnded(id, now);
     request.endpoint?.onSuccess(now);
@@ -85,12 +89,14 @@
   }
 
   /**
-   * @param id - the request
-   * @param attempt - the attempt whose answer has begun
+   * Records that the answer has started.
+   *
+   * @param id - id of the request
+   * @param attempt - the attempt whose answer has started
    * @param now - current time
    */
   onFirstToken(id: string, attempt: string, now: number): void {
-    const request = this.#current(id, attempt);
+    const request = this.#findCurrent(id, attempt);
     if (request?.phase !== liveRequest.RequestPhase.Answering) return;
     request.firstTokenSeen = true;
     request.endpoint?.onFirstToken(id, now);
@@ -98,11 +104,13 @@
   }
 
   /**
-   * @param event - the whole answer has come
+   * Records that the answer is complete.
+   *
+   * @param event - the complete answer
    * @param now - current time
    */
   onAnswerDone(event: Extract<events.CoreEvent, { type: events.EventType.AnswerDone }>, now: number): void {
-    const request = this.#current(event.request, event.attempt);
+    const request = this.#findCurrent(event.request, event.attempt);
     if (request?.phase !== liveRequest.RequestPhase.Answering) return;
     request.endpoint?.onEnded(event.request, now, event.outputTokens);
     request.endpoint?.onSuccess(now);
@@ -120,39 +128,41 @@
   }
 
   /**
-   * @param id - the request
+   * Retries or refuses a request after a failed attempt.
+   *
+   * @param id - id of the request
    * @param attempt - the attempt that failed
-   * @param reach - how far it can have got
+   * @param outcome - whether it may have run
    * @param now - current time
    */
-  onAttemptFailed(id: string, attempt: string, reach: events.SendOutcome, now: number): void {
-    const request = this.#current(id, attempt);
+  onAttemptFailed(id: string, attempt: string, outcome: events.SendOutcome, now: number): void {
+    const request = this.#findCurrent(id, attempt);
     if (!request) return;
     request.endpoint?.onEnded(id, now);
-    request.endpoint?.onFailure(now, reach !== events.SendOutcome.NeverSent);
-    if (request.endpoint) request.work = avoiding(request.work, request.endpoint.id);
+    request.endpoint?.onFailure(now, outcome !== events.SendOutcome.NeverSent);
+    if (request.endpoint) request.work = withAvoided(request.work, request.endpoint.id);
     delete request.endpoint;
-    const ran = reach === events.SendOutcome.MayHaveRun;
+    const mayHaveRun = outcome === events.SendOutcome.MayHaveRun;
     if (request.abandoned) this.#live.delete(id);
-    else if (ran && !request.idempotent) this.#giveUp(request, common.Outcome.Unknown, now);
+    else if (mayHaveRun && !request.idempotent) this.#refuseFailed(request, common.Outcome.Unknown, now);
     else if (this.#mayRetry(request, now)) this.#retry(request, now);
-    else this.#giveUp(request, ran ? common.Outcome.Unknown : common.Outcome.NotRun, now);
+    else this.#refuseFailed(request, mayHaveRun ? common.Outcome.Unknown : common.Outcome.NotRun, now);
     this.dispatchQueued(now, request.pool);
   }
 
   /**
-   * The caller has gone. What has not been dispatched is dropped. An answer
-   * that has begun goes on: the caller may take it up again through another
-   * daemon by its last event id.
+   * Handles the disconnect of a caller. A request whose answer has not started is
+   * cancelled. An answer that has started continues: the caller may resume it
+   * through another daemon by its last event id.
    *
-   * @param id - the request
+   * @param id - id of the request
    * @param now - current time
    */
   onCallerGone(id: string, now: number): void {
     const request = this.#live.get(id);
     if (!request) return;
     request.abandoned = true;
-    // A non-idempotent call is left to end, for the sake of duplicates that ask for its answer.
+    // A non-idempotent call runs to its end, since duplicates may ask for its answer.
     if (!request.idempotent || request.firstTokenSeen) return;
     request.pool.queue.remove(id);
     this.#handingOff.delete(request);
@@ -162,26 +172,30 @@
   }
 
   /**
-   * Dispatches what can begin, and refuses at once what can no longer be in time.
+   * Dispatches the queued requests that can start, and refuses those that can no longer meet their deadline.
    *
    * @param now - current time
    * @param pool - the service
    */
   dispatchQueued(now: number, pool: servicePool.ServicePool): void {
-    this.#serveHandoffs(pool, now);
-    for (const hopeless of pool.queue.takeInfeasible(now)) this.#refuseLate(hopeless.id, now);
+    this.#dispatchHandoffs(pool, now);
+    for (const infeasible of pool.queue.takeInfeasible(now)) this.#refuseInfeasible(infeasible.id, now);
     for (;;) {
-      const next = pool.queue.first;
-      const request = next && this.#live.get(next.id);
+      const head = pool.queue.first;
+      const request = head && this.#live.get(head.id);
       if (!request) return;
       const plan = pool.choose(request.work, now);
       if (!plan) return;
-      pool.queue.remove(next.id);
+      pool.queue.remove(head.id);
       this.#start(request, plan, now);
     }
   }
 
-  /** @param now - current time; ends abandoned streams past their deadline and old attempts */
+  /**
+   * Cancels abandoned streams past their deadline and removes expired attempts.
+   *
+   * @param now - current time
+   */
   onTick(now: number): void {
     this.#attempts.expire(now);
     for (const [id, request] of this.#live) {
@@ -215,36 +229,38 @@
   #admit(request: liveRequest.LiveRequest, now: number): void {
     request.phase = liveRequest.RequestPhase.Queued;
     const { pool } = request;
-    const problem = this.#lateProblem(request, now);
+    const problem = this.#admissionProblem(request, now);
     if (problem) {
       this.#refuse(request, problem, now);
       return;
     }
     const plan = pool.queue.length === 0 ? pool.choose(request.work, now) : undefined;
     if (plan) this.#start(request, plan, now);
-    else pool.queue.add(this.#queued(request, now));
+    else pool.queue.add(this.#toQueuedRequest(request, now));
   }
 
-  /** Whether the request can't be in time, as far as can be told. */
-  #lateProblem(request: liveRequest.LiveRequest, now: number): common.Problem | undefined {
+  /** Returns why the request can't be admitted: no endpoint, a full queue, or an unreachable deadline. */
+  #admissionProblem(request: liveRequest.LiveRequest, now: number): common.Problem | undefined {
     const { pool } = request;
     if (!pool.canServe(now)) {
-      return common.problem(common.ProblemKind.NoEndpoint, "no endpoint of the service takes work now", {
-        retryAfterMs: MODEL_RETRY_MS,
+      return common.problem(common.ProblemKind.NoEndpoint, "no endpoint of the service accepts requests now", {
+        retryAfterMs: MIN_RETRY_MS,
       });
     }
     const { concurrent } = pool.entry.settings.limits;
-    const estimate = pool.queue.estimate(this.#queued(request, now), pool.capacity(now), now);
+    const estimate = pool.queue.estimate(this.#toQueuedRequest(request, now), pool.capacity(now), now);
     if (pool.queue.length >= concurrent) {
-      const retryAfterMs = Math.max(MODEL_RETRY_MS, estimate.finishMs);
-      return common.problem(common.ProblemKind.Overloaded, `${concurrent} requests wait already`, { retryAfterMs });
+      const retryAfterMs = Math.max(MIN_RETRY_MS, estimate.finishMs);
+      return common.problem(common.ProblemKind.Overloaded, `the queue is full: ${concurrent} requests are waiting`, {
+        retryAfterMs,
+      });
     }
     if (estimate.feasible || !pool.refusesInfeasible) return undefined;
-    const detail = `would take ${Math.round(estimate.finishMs)} ms, ${Math.round(request.deadline - now)} ms are left`;
+    const detail = `predicted ${Math.round(estimate.finishMs)} ms to finish, but the deadline is in ${Math.round(request.deadline - now)} ms`;
     return common.problem(common.ProblemKind.DeadlineUnreachable, detail, { retryAfterMs: estimate.retryAfterMs });
   }
 
-  #queued(request: liveRequest.LiveRequest, now: number): admission.QueuedRequest {
+  #toQueuedRequest(request: liveRequest.LiveRequest, now: number): admission.QueuedRequest {
     const { fingerprint } = request.description;
     const isPlain = request.pool.entry.settings.kind === configuration.ServiceKind.Plain;
     return {
@@ -267,7 +283,7 @@
     this.#dispatch(request, plan.answer, endpointModel.RequestPart.Whole, now);
   }
 
-  #serveHandoffs(pool: servicePool.ServicePool, now: number): void {
+  #dispatchHandoffs(pool: servicePool.ServicePool, now: number): void {
     for (const request of this.#handingOff) {
       if (request.pool !== pool) continue;
       const endpoint = pool.chooseDecode(request.work, now);
@@ -325,12 +341,12 @@
     this.#admit(request, now);
   }
 
-  #giveUp(request: liveRequest.LiveRequest, outcome: common.Outcome, now: number): void {
+  #refuseFailed(request: liveRequest.LiveRequest, outcome: common.Outcome, now: number): void {
     const detail =
       outcome === common.Outcome.NotRun
         ? "the endpoints refused the request"
-        : "the endpoint failed while it had the request";
-    const retryAfterMs = outcome === common.Outcome.NotRun ? MODEL_RETRY_MS : undefined;
+        : "the endpoint failed after the request was sent to it";
+    const retryAfterMs = outcome === common.Outcome.NotRun ? MIN_RETRY_MS : undefined;
     this.#refuse(
       request,
       common.problem(common.ProblemKind.EndpointFailed, detail, { outcome, ...(retryAfterMs ? { retryAfterMs } : {}) }),
@@ -338,15 +354,15 @@
     );
   }
 
-  #refuseLate(id: string, now: number): void {
+  #refuseInfeasible(id: string, now: number): void {
     const request = this.#live.get(id);
     if (!request) return;
-    const retryAfterMs = Math.max(MODEL_RETRY_MS, request.pool.serviceMs(request.work, now));
-    const detail = "waited for an endpoint and can no longer be in time";
+    const retryAfterMs = Math.max(MIN_RETRY_MS, request.pool.serviceMs(request.work, now));
+    const detail = "waited for an endpoint and can no longer meet the deadline";
     this.#refuse(request, common.problem(common.ProblemKind.DeadlineUnreachable, detail, { retryAfterMs }), now);
   }
 
-  #refuseUnknown(description: events.RequestDescription): void {
+  #refuseUnknownService(description: events.RequestDescription): void {
     const detail = `there is no service '${description.service}'`;
     const problem = common.problem(common.ProblemKind.UnknownService, detail);
     this.#context.emit({ type: actions.ActionType.Refuse, request: description.id, problem });
@@ -380,8 +396,8 @@
     });
   }
 
-  /** Late events of an attempt that was given up are ignored: their nonce is not the current one. */
-  #current(id: string, attempt: string): liveRequest.LiveRequest | undefined {
+  /** Returns the request if the attempt is its current one; late events of earlier attempts are ignored. */
+  #findCurrent(id: string, attempt: string): liveRequest.LiveRequest | undefined {
     const request = this.#live.get(id);
     return request?.attempt === attempt ? request : undefined;
   }
@@ -394,6 +410,6 @@
   }
 }
 
-function avoiding(work: servicePool.Work, endpoint: string): servicePool.Work {
+function withAvoided(work: servicePool.Work, endpoint: string): servicePool.Work {
   return { ...work, avoid: new Set([...(work.avoid ?? []), endpoint]) };
 }
--- a/packages/core/src/servicePool.ts
+++ b/packages/core/src/servicePool.ts
@@ -7,21 +7,21 @@
 import * as endpointChoice from "./endpointChoice.js";
 import * as model from "./endpointModel.js";
 
-/** What a request asks of a service's endpoints. */
+/** Work that a request needs from a service's endpoints. */
 export interface Work extends endpointChoice.WorkSize {
   readonly maximumOutputTokens: number;
 }
 
-/** Settings of a pool's decisions. */
+/** Settings of a pool's policies. */
 export interface PolicySettings {
   readonly choice: endpointChoice.ChoiceSettings;
   readonly planner: rolePlanner.PlannerSettings;
   readonly costs: engineCosts.EngineCosts;
-  /** Whether a request that can't be in time is refused at once. */
+  /** Whether a request that can't meet its deadline is refused at once. */
   readonly refusesInfeasible: boolean;
 }
 
-/** The settings that the replay measure found best. */
+/** Default settings, the best ones in trace replays. */
 export const POLICY_SETTINGS: PolicySettings = {
   choice: endpointChoice.CHOICE_SETTINGS,
   planner: rolePlanner.PLANNER_SETTINGS,
@@ -33,9 +33,9 @@
 const ANSWER_PRIOR_MS = 2000;
 const ANSWER_LEARNING_RATE = 0.05;
 const PLAIN_CALL_PRIOR_MS = 20;
-const PLAIN_LEARNING_RATE = 0.1;
+const PLAIN_CALL_LEARNING_RATE = 0.1;
 
-/** One service at one daemon: its endpoints, its queue, and what was learned of its requests. */
+/** One service at one daemon: its endpoints, its queue, and learned statistics of its requests. */
 export class ServicePool {
   readonly queue = new admission.AdmissionQueue();
   readonly retryBudget = new retryBudget.RetryBudget();
@@ -48,16 +48,16 @@
   #entry: configuration.ServiceEntry;
   #outputShare = 0.8;
   #answerMs = ANSWER_PRIOR_MS;
-  #plainMs = PLAIN_CALL_PRIOR_MS;
+  #plainCallMs = PLAIN_CALL_PRIOR_MS;
   #peerQueues: admission.WaitingWork = { tokens: 0, requests: 0 };
-  #arrived = engineCosts.NO_DEMAND;
-  #requests = 0;
-  #peers = 0;
+  #arrivedDemand = engineCosts.NO_DEMAND;
+  #arrivedRequests = 0;
+  #peerCount = 0;
 
   /**
    * @param entry - the service
-   * @param random - for ties
-   * @param settings - of choice, planner and costs
+   * @param random - breaks ties between endpoints
+   * @param settings - settings of choice, planner and costs
    */
   constructor(entry: configuration.ServiceEntry, random: common.SeededRandom, settings: PolicySettings) {
     this.#entry = entry;
@@ -67,24 +67,24 @@
     this.planner = new rolePlanner.RolePlanner(settings.planner);
   }
 
-  /** @returns the service's settings in force */
+  /** @returns the service's current configuration */
   get entry(): configuration.ServiceEntry {
     return this.#entry;
   }
 
-  /** @returns milliseconds that a role change keeps an engine away */
+  /** @returns milliseconds for which a role change makes an engine unavailable */
   get roleChangeMs(): number {
     return this.#costs.roleChangeMs;
   }
 
-  /** @returns engine time of all requests that have arrived here */
+  /** @returns total demand of all requests that have arrived at this daemon */
   get arrived(): engineCosts.Demand {
-    return this.#arrived;
+    return this.#arrivedDemand;
   }
 
-  /** @returns how many requests have arrived here */
+  /** @returns number of requests that have arrived at this daemon */
   get requests(): number {
-    return this.#requests;
+    return this.#arrivedRequests;
   }
 
   /** @returns the endpoints */
@@ -93,7 +93,7 @@
   }
 
   /**
-   * Follows a change of configuration; endpoints that stay keep what was learned.
+   * Applies a configuration change; endpoints that remain keep what was learned about them.
    *
    * @param entry - the service
    * @param endpoints - its endpoints
@@ -121,19 +121,21 @@
   }
 
   /**
-   * @param waiting - what waits for this service at the peers
-   * @param peers - how many of them serve it
+   * Updates the known queues of the peers.
+   *
+   * @param waiting - work in the peers' queues for this service
+   * @param peers - number of peers that serve it
    */
   onPeerQueues(waiting: admission.WaitingWork, peers: number): void {
     this.#peerQueues = waiting;
-    this.#peers = peers;
+    this.#peerCount = peers;
   }
 
   /**
    * @param promptTokens - length of the prompt
    * @param maximumOutputTokens - the caller's limit
-   * @param prefix - beginning of the prompt
-   * @returns the work with the output length that is expected
+   * @param prefix - prefix of the prompt
+   * @returns the work, with the expected output length
    */
   workOf(promptTokens: number, maximumOutputTokens: number, prefix?: string): Work {
     const outputTokens = Math.max(1, Math.ceil(maximumOutputTokens * this.#outputShare));
@@ -141,41 +143,43 @@
   }
 
   /**
-   * @param work - of a request that has just arrived
+   * Records the arrival of a request.
+   *
+   * @param work - the request's work
    * @param now - current time
    */
   onArrived(work: Work, now: number): void {
     const demand = this.demandOf(work);
-    this.#arrived = engineCosts.sumOf(this.#arrived, demand);
-    this.#requests++;
+    this.#arrivedDemand = engineCosts.sumOf(this.#arrivedDemand, demand);
+    this.#arrivedRequests++;
     this.retryBudget.earn();
     this.planner.onRequests(demand, 1, now);
   }
 
   /**
    * @param work - the request's work
-   * @returns engine time that it takes
+   * @returns the engine time that it needs
    */
   demandOf(work: Work): engineCosts.Demand {
-    if (this.#isPlain()) return { prefillMs: 0, decodeMs: 0, mixedMs: this.#plainMs };
+    if (this.#isPlain()) return { prefillMs: 0, decodeMs: 0, mixedMs: this.#plainCallMs };
     return engineCosts.demandOf(this.#costs, work.promptTokens, work.outputTokens);
   }
 
   /**
    * @param work - the request's work
    * @param now - current time
-   * @returns the endpoints that can begin now, if any
+   * @returns the endpoints that can start the request now, if any
    */
   choose(work: Work, now: number): endpointChoice.EndpointPlan | undefined {
     if (!this.#isPlain()) return this.#choice.chooseWhole(this.#endpointList, work, now);
     const endpoint = this.#choice.choosePlain(this.#endpointList, work, this.#entry.settings.limits.perEndpoint, now);
-    return endpoint && { answer: endpoint, finishMs: this.#plainMs };
+    return endpoint && { answer: endpoint, finishMs: this.#plainCallMs };
   }
 
   /**
    * @param work - the request's work
    * @param now - current time
-   * @returns the endpoint that makes the answer from an imported KV cache
+   * @returns the endpoint that generates the answer from an imported KV cache, if one is available
    */
   chooseDecode(work: Work, now: number): model.EndpointModel | undefined {
     return this.#choice.chooseDecode(this.#endpointList, work, now);
@@ -184,10 +188,10 @@
   /**
    * @param work - the request's work
    * @param now - current time
-   * @returns milliseconds from dispatch to the whole answer at an endpoint as busy as usual
+   * @returns predicted milliseconds from dispatch to the complete answer, at the endpoints' current speeds
    */
   serviceMs(work: Work, now: number): number {
-    if (this.#isPlain()) return this.#plainMs;
+    if (this.#isPlain()) return this.#plainCallMs;
     const usable = this.#endpointList.filter((endpoint) => endpoint.isUsable(now));
     const prefill = usable.filter((endpoint) => endpoint.role !== configuration.EndpointRole.Decode);
     const decode = usable.filter((endpoint) => endpoint.role !== configuration.EndpointRole.Prefill);
@@ -203,13 +207,14 @@
     const roles = new Set(
       this.#endpointList.filter((endpoint) => endpoint.isUsable(now)).map((endpoint) => endpoint.role),
     );
-    const pairs = roles.has(configuration.EndpointRole.Prefill) && roles.has(configuration.EndpointRole.Decode);
-    return roles.has(configuration.EndpointRole.Mixed) || pairs;
+    const hasPrefillAndDecode =
+      roles.has(configuration.EndpointRole.Prefill) && roles.has(configuration.EndpointRole.Decode);
+    return roles.has(configuration.EndpointRole.Mixed) || hasPrefillAndDecode;
   }
 
   /**
    * @param now - current time
-   * @returns what the usable endpoints give and what is ahead of them
+   * @returns total capacity and load of the usable endpoints
    */
   capacity(now: number): admission.PoolCapacity {
     let [tokensPerMs, waitingTokens, slots, busySlots] = [0, 0, 0, 0];
@@ -223,15 +228,17 @@
       slots += this.#isPlain() ? this.#entry.settings.limits.perEndpoint : endpoint.slots;
       busySlots += this.#isPlain() ? endpoint.totalInFlight : endpoint.streams;
     }
-    const slotMs = this.#isPlain() ? this.#plainMs : this.#answerMs;
-    const daemons = this.#peers + 1;
+    const slotMs = this.#isPlain() ? this.#plainCallMs : this.#answerMs;
+    const daemons = this.#peerCount + 1;
     return { tokensPerMs, waitingTokens, peerQueues: this.#peerQueues, slots, busySlots, slotMs, daemons };
   }
 
   /**
-   * @param work - the work of a request that was answered
-   * @param outputTokens - tokens that the answer had
-   * @param tookMs - from dispatch to the end
+   * Learns from a completed answer.
+   *
+   * @param work - the request's work
+   * @param outputTokens - number of tokens in the answer
+   * @param tookMs - milliseconds from dispatch to the end
    */
   onAnswered(work: Work, outputTokens: number, tookMs: number): void {
     this.#answerMs += ANSWER_LEARNING_RATE * (tookMs - this.#answerMs);
@@ -239,9 +246,13 @@
     this.#outputShare += OUTPUT_LEARNING_RATE * (Math.min(1, share) - this.#outputShare);
   }
 
-  /** @param tookMs - duration of a plain call */
+  /**
+   * Learns from a completed plain call.
+   *
+   * @param tookMs - its duration in milliseconds
+   */
   onPlainAnswered(tookMs: number): void {
-    this.#plainMs += PLAIN_LEARNING_RATE * (tookMs - this.#plainMs);
+    this.#plainCallMs += PLAIN_CALL_LEARNING_RATE * (tookMs - this.#plainCallMs);
   }
 
   #isPlain(): boolean {
--- a/packages/core/src/streamAssembly.ts
+++ b/packages/core/src/streamAssembly.ts
@@ -1,39 +1,39 @@
-/** What to do after a piece of a stream has come, or failed to come. */
+/** Next step after a piece of a stream was received or its connection was lost. */
 export enum StreamStep {
-  /** Pass the piece on. */
+  /** Forward the piece to the caller. */
   Forward = "forward",
-  /** Drop it: the caller has it already. */
+  /** Drop the piece: the caller already has it. */
   Skip = "skip",
-  /** The answer is whole. */
+  /** The answer is complete. */
   Complete = "complete",
-  /** Open a new connection and go on from `nextIndex`. */
+  /** Open a new connection and resume at `nextIndex`. */
   Resume = "resume",
-  /** This attempt can't give the whole answer. */
+  /** This attempt can't produce the complete answer. */
   Fail = "fail",
 }
 
-const MAXIMUM_RESUMES = 3;
+const MAX_RESUMES = 3;
 
 /**
- * Judges the pieces of one attempt's stream. An answer counts as whole only
- * with its end marker and consecutive indices from the first on: a connection
- * that is closed early looks just like a short answer otherwise.
+ * Checks the pieces of one attempt's stream. An answer counts as complete only
+ * with its end marker and consecutive indices from 0 on: otherwise a connection
+ * that closes early would look like a short answer.
  *
- * If an attempt follows one that had already sent something to the caller, its
- * beginning must repeat what was sent; a caller must never get the first half
- * of one answer and the second half of another.
+ * If an earlier attempt already sent pieces to the caller, this attempt must
+ * start with the same pieces; a caller must never get the first part of one
+ * answer and the rest of another.
  */
 export class StreamAssembly {
   readonly #alreadySent: readonly string[];
   #nextIndex = 0;
   #resumes = 0;
 
-  /** @param alreadySent - the pieces that the caller has from an earlier attempt */
+  /** @param alreadySent - pieces sent to the caller by an earlier attempt */
   constructor(alreadySent: readonly string[] = []) {
     this.#alreadySent = alreadySent;
   }
 
-  /** @returns the index that must come next */
+  /** @returns the expected index of the next piece */
   get nextIndex(): number {
     return this.#nextIndex;
   }
@@ -52,18 +52,18 @@
     return sent === undefined ? StreamStep.Forward : StreamStep.Skip;
   }
 
-  /** @returns what to do on the end marker */
+  /** @returns what to do after the end marker */
   onEnd(): StreamStep {
     return this.#nextIndex >= this.#alreadySent.length ? StreamStep.Complete : StreamStep.Fail;
   }
 
-  /** @returns what to do when the connection was closed or fell silent before the end marker */
+  /** @returns what to do after the connection was closed or timed out before the end marker */
   onBroken(): StreamStep {
     return this.#resumeOrFail();
   }
 
   #resumeOrFail(): StreamStep {
-    if (this.#resumes >= MAXIMUM_RESUMES) return StreamStep.Fail;
+    if (this.#resumes >= MAX_RESUMES) return StreamStep.Fail;
     this.#resumes++;
     return StreamStep.Resume;
   }
