--- a/packages/core/tests/helpers/actionExecutor.ts
+++ b/packages/core/tests/helpers/actionExecutor.ts
@@ -5,39 +5,39 @@
 import * as peerCalls from "./peerCalls.js";
 import type * as simulations from "./simulation.js";
 
-/** What actions are carried out on. */
+/** The simulated environment in which actions are executed. */
 export interface ActionExecutorParts {
-  readonly round: simulations.Simulation;
+  readonly simulation: simulations.Simulation;
   readonly control: fakeControlStores.FakeControlStore;
   readonly endpoints: fakeEndpoints.FakeEndpoints;
   readonly engines: fakeEngineOrders.FakeEngineOrders;
   readonly nodeOf: (vm: string) => simulations.Node | undefined;
-  /** Hands a process an event, even if another runs on its VM by now. */
+  /** Passes an event to a process, even if another one has replaced it on its VM. */
   readonly handle: (vm: string, node: simulations.Node, event: core.CoreEvent) => void;
   readonly onDispatched: (vm: string, action: core.DispatchAction) => void;
 }
 
-/** Carries the cores' actions out on the fakes round them. */
+/** Executes the cores' actions on the fakes. */
 export class ActionExecutor {
   readonly #parts: ActionExecutorParts;
-  readonly #questions: peerCalls.PeerCalls;
+  readonly #peerCalls: peerCalls.PeerCalls;
 
-  /** @param parts - what actions are carried out on */
+  /** @param parts - the simulated environment */
   constructor(parts: ActionExecutorParts) {
     this.#parts = parts;
-    this.#questions = new peerCalls.PeerCalls(parts.round, (vm, event) => {
+    this.#peerCalls = new peerCalls.PeerCalls(parts.simulation, (vm, event) => {
       this.#deliver(vm, event);
     });
   }
 
   /**
-   * @param vm - whose process acts
-   * @param node - the process
-   * @param action - what it wants done
+   * @param vm - VM of the process
+   * @param node - the process that emitted the action
+   * @param action - the action to execute
    */
   execute(vm: string, node: simulations.Node, action: core.Action): void {
     const reply: simulations.Reply = (event) => {
-      this.#parts.round.afterCall(() => {
+      this.#parts.simulation.afterCall(() => {
         this.#parts.handle(vm, node, event);
       });
     };
@@ -54,16 +54,16 @@
         this.#parts.control.renew(action.lease, reply);
         break;
       case core.ActionType.AskClaim:
-        this.#questions.askClaim(action, reply);
+        this.#peerCalls.askClaim(action, reply);
         break;
       case core.ActionType.AnswerClaims:
-        for (const answer of action.answers) this.#questions.settle(answer.claim.attempt, answer);
+        for (const answer of action.answers) this.#peerCalls.settle(answer.claim.attempt, answer);
         break;
       case core.ActionType.AskJoin:
-        this.#questions.askJoin(action, reply);
+        this.#peerCalls.askJoin(action, reply);
         break;
       case core.ActionType.AnswerJoin:
-        this.#questions.settle(action.join, action);
+        this.#peerCalls.settle(action.join, action);
         break;
       case core.ActionType.Dispatch:
         this.#parts.endpoints.dispatch(action, () => this.#parts.onDispatched(vm, action), reply);
@@ -81,7 +81,7 @@
         this.#askDepose(action, reply);
         break;
       case core.ActionType.PushRecords:
-        this.#parts.round.afterCall(() => {
+        this.#parts.simulation.afterCall(() => {
           const { records, completeRevision } = action;
           this.#deliver(action.to.vm, { type: core.EventType.ControlChanges, records, completeRevision });
         });
@@ -93,9 +93,9 @@
 
   #askDepose(action: Extract<core.Action, { type: core.ActionType.AskDepose }>, reply: simulations.Reply): void {
     const { vm, shard, epoch } = action;
-    this.#parts.round.afterCall(() => {
+    this.#parts.simulation.afterCall(() => {
       const node = this.#parts.nodeOf(vm);
-      if (!node?.alive || node.pausedUntil > this.#parts.round.time.now) return;
+      if (!node?.alive || node.pausedUntil > this.#parts.simulation.time.now) return;
       this.#parts.handle(vm, node, { type: core.EventType.DeposeAsked, shard, epoch });
       for (const token of node.inFlightOrders) token.cancelled = true;
       const { incarnation } = node.core.registration;
--- a/packages/core/tests/helpers/coreHarness.ts
+++ b/packages/core/tests/helpers/coreHarness.ts
@@ -13,33 +13,33 @@
 const LEASE_CHECK_MS = 100;
 const WALL_START = 1_700_000_000_000;
 
-/** Several cores, the stand-in's key-value store, and fakes of endpoints, in virtual time and seeded order. */
+/** Runs several cores with the stand-in's key-value store and fake endpoints, in virtual time and with seeded randomness. */
 export class CoreHarness {
   readonly random: common.SeededRandom;
   readonly vmStates = new Map<string, core.VmState>();
   onDispatched: (vm: string, action: core.DispatchAction) => void = () => undefined;
   readonly #time = new virtualTimes.VirtualTime();
-  readonly #round: simulations.Simulation;
+  readonly #simulation: simulations.Simulation;
   readonly #control: fakeControlStores.FakeControlStore;
   readonly #endpoints: fakeEndpoints.FakeEndpoints;
   readonly #engines: fakeEngineOrders.FakeEngineOrders;
-  readonly #carrier: actionExecutors.ActionExecutor;
+  readonly #executor: actionExecutors.ActionExecutor;
   readonly #nodes = new Map<string, simulations.Node>();
   readonly #lingerMs: number;
 
   /**
-   * @param seed - of all draws
-   * @param lingerMs - how long bytes outlive a process, as the cores are told
+   * @param seed - seed of all random numbers
+   * @param lingerMs - the cores' setting for how long sent bytes may outlive their process
    */
   constructor(seed: number, lingerMs = 60_000) {
     this.random = new common.SeededRandom(seed);
     this.#lingerMs = lingerMs;
-    this.#round = new simulations.Simulation(this.#time, this.random);
-    this.#control = new fakeControlStores.FakeControlStore(this.#round);
-    this.#endpoints = new fakeEndpoints.FakeEndpoints(this.#round);
-    this.#engines = new fakeEngineOrders.FakeEngineOrders(this.#round);
-    this.#carrier = new actionExecutors.ActionExecutor({
-      round: this.#round,
+    this.#simulation = new simulations.Simulation(this.#time, this.random);
+    this.#control = new fakeControlStores.FakeControlStore(this.#simulation);
+    this.#endpoints = new fakeEndpoints.FakeEndpoints(this.#simulation);
+    this.#engines = new fakeEngineOrders.FakeEngineOrders(this.#simulation);
+    this.#executor = new actionExecutors.ActionExecutor({
+      simulation: this.#simulation,
       control: this.#control,
       endpoints: this.#endpoints,
       engines: this.#engines,
@@ -55,7 +55,7 @@
       this.store.expireLeases(this.now);
     });
     this.store.subscribe((events) => {
-      for (const vm of this.#nodes.keys()) this.#tellWatch(vm, events);
+      for (const vm of this.#nodes.keys()) this.#notifyWatch(vm, events);
     });
   }
 
@@ -64,27 +64,27 @@
     return this.#time.now;
   }
 
-  /** @returns the key-value store itself */
+  /** @returns the underlying key-value store */
   get store(): standIns.KeyValueStore {
     return this.#control.store;
   }
 
-  /** @returns what the endpoints carried out, in order */
+  /** @returns all executions at endpoints, in order */
   get executions(): fakeEndpoints.Execution[] {
     return this.#endpoints.executions;
   }
 
-  /** @returns what callers were told, in order */
+  /** @returns all results that callers got, in order */
   get callerResults(): fakeEndpoints.CallerResult[] {
     return this.#endpoints.callerResults;
   }
 
-  /** @returns what engines were ordered, in order of arrival */
+  /** @returns all orders that reached engines, in order of arrival */
   get orders(): fakeEngineOrders.ArrivedOrder[] {
     return this.#engines.arrived;
   }
 
-  /** @returns which engines refuse old orders */
+  /** @returns which engines check fencing numbers and reject older orders */
   get checksFencing(): Map<string, boolean> {
     return this.#engines.checksFencing;
   }
@@ -94,35 +94,37 @@
     return this.#engines.roles;
   }
 
-  /** @returns the faults that happen */
+  /** @returns probabilities of the injected faults */
   get faults(): simulations.FaultRates {
-    return this.#round.faults;
+    return this.#simulation.faults;
   }
 
   set faults(faults: simulations.FaultRates) {
-    this.#round.faults = faults;
+    this.#simulation.faults = faults;
   }
 
-  /** @returns whether the key-value service is out of reach */
+  /** @returns whether the key-value service is unreachable */
   get keyValueDown(): boolean {
     return this.#control.down;
   }
 
-  /** After an outage the daemons read all control records again. */
+  /** Starts or ends an outage; when it ends, the daemons read all control records again. */
   set keyValueDown(down: boolean) {
-    const back = this.#control.down && !down;
+    const isRecovering = this.#control.down && !down;
     this.#control.down = down;
-    if (!back) return;
+    if (!isRecovering) return;
     for (const [vm, node] of this.#nodes) this.#readAll(vm, node);
   }
 
   /**
-   * @param vm - the VM on which a daemon starts, in place of any that ran there
+   * Starts a daemon and ends the one that ran on the VM before.
+   *
+   * @param vm - the VM
    * @returns its core
    */
   start(vm: string): core.Core {
-    const before = this.#nodes.get(vm);
-    if (before) before.alive = false;
+    const previous = this.#nodes.get(vm);
+    if (previous) previous.alive = false;
     const registration: core.Registration = {
       vm,
       dataCentre: "halle-a",
@@ -145,15 +147,15 @@
     return started;
   }
 
-  /** @param vm - whose daemon ends at once */
+  /** @param vm - VM whose daemon is killed */
   kill(vm: string): void {
     const node = this.#nodes.get(vm);
     if (node) node.alive = false;
   }
 
   /**
-   * @param vm - whose daemon is paused
-   * @param milliseconds - for how long
+   * @param vm - VM whose daemon is paused
+   * @param milliseconds - length of the pause
    */
   pause(vm: string, milliseconds: number): void {
     const node = this.#nodes.get(vm);
@@ -162,7 +164,7 @@
 
   /**
    * @param vm - the VM
-   * @returns its core
+   * @returns the core of its daemon
    */
   core(vm: string): core.Core {
     const node = this.#nodes.get(vm);
@@ -171,7 +173,7 @@
   }
 
   /**
-   * @param vm - daemon that gets the request
+   * @param vm - VM of the daemon that receives the request
    * @param request - the request
    */
   send(vm: string, request: core.RequestDescription): void {
@@ -180,7 +182,9 @@
   }
 
   /**
-   * @param text - a team document
+   * Stores a team document.
+   *
+   * @param text - the document
    * @param team - the team
    */
   configure(text: string, team: string): void {
@@ -190,14 +194,14 @@
     this.store.transact([], [{ kind: "put", key, value, lease: "0" }]);
   }
 
-  /** @param milliseconds - how far to run */
+  /** @param milliseconds - virtual time to run for */
   run(milliseconds: number): void {
     this.#time.run(milliseconds);
   }
 
   /**
-   * @param delayMs - from now
-   * @param run - what happens then
+   * @param delayMs - delay from now
+   * @param run - callback
    */
   after(delayMs: number, run: () => void): void {
     this.#time.after(delayMs, run);
@@ -208,7 +212,7 @@
     if (node) this.#handle(vm, node, event);
   }
 
-  /** A paused process handles what came meanwhile when it goes on. */
+  /** Passes an event to a process; a paused one handles it when it resumes. */
   #handle(vm: string, node: simulations.Node, event: core.CoreEvent): void {
     if (!node.alive) return;
     if (node.pausedUntil > this.now) {
@@ -218,7 +222,7 @@
       return;
     }
     const actions = node.core.handle(event, { now: this.now, wall: WALL_START + this.now });
-    for (const action of actions) this.#carrier.execute(vm, node, action);
+    for (const action of actions) this.#executor.execute(vm, node, action);
   }
 
   #exchange(vm: string, node: simulations.Node): void {
@@ -226,7 +230,7 @@
     const report = node.core.heartbeat(this.now);
     for (const other of this.#nodes.keys()) {
       if (other === vm) continue;
-      this.#round.afterCall(() => {
+      this.#simulation.afterCall(() => {
         this.#deliver(other, { type: core.EventType.PeerReported, report });
       });
     }
@@ -242,14 +246,14 @@
     if (!this.#control.down) this.#deliver(vm, { type: core.EventType.KeyValueResponded, revision: 0 });
   }
 
-  #tellWatch(vm: string, events: standIns.StoreEvent[]): void {
+  #notifyWatch(vm: string, events: standIns.StoreEvent[]): void {
     const node = this.#nodes.get(vm);
     if (!node || this.#control.down) return;
     const records = events
       .filter((event) => event.key.startsWith(core.constants.CONTROL_PREFIX))
       .map(fakeControlStores.toRecord);
     const revision = events[0]?.revision ?? 0;
-    node.lastWatchAt = Math.max(node.lastWatchAt, this.now + this.#round.callMs());
+    node.lastWatchAt = Math.max(node.lastWatchAt, this.now + this.#simulation.callMs());
     this.after(node.lastWatchAt - this.now, () => {
       this.#handle(vm, node, { type: core.EventType.ControlChanges, records, completeRevision: revision });
     });
--- a/packages/core/tests/helpers/documents.ts
+++ b/packages/core/tests/helpers/documents.ts
@@ -1,6 +1,6 @@
 import type * as core from "../../src/index.js";
 
-/** A team with three plain endpoints whose calls may not be repeated. */
+/** Document of a team with three plain endpoints whose calls are not idempotent. */
 export const PLAIN_TEAM = `
 team: leoben
 services:
@@ -12,9 +12,9 @@
 `;
 
 /**
- * @param roles - wanted role of each engine
+ * @param roles - configured role of each engine
  * @param checksFencing - whether the engines check fencing numbers
- * @returns a team document with engines
+ * @returns document of a team with engines
  */
 export function engineTeam(roles: readonly string[], checksFencing: boolean): string {
   const endpoints = roles.map(
@@ -31,10 +31,10 @@
 }
 
 /**
- * @param id - of the request
+ * @param id - id of the request
  * @param key - idempotency key
- * @param digest - of the request
- * @returns a call of the plain service
+ * @param digest - digest of the request
+ * @returns a call to the plain service
  */
 export function plainCall(id: string, key: string, digest = "digest"): core.RequestDescription {
   return {
--- a/packages/core/tests/helpers/fakeControlStore.ts
+++ b/packages/core/tests/helpers/fakeControlStore.ts
@@ -2,54 +2,54 @@
 import * as core from "../../src/index.js";
 import type * as simulations from "./simulation.js";
 
-/** The stand-in's key-value store, over calls that take time and may be lost. */
+/** The stand-in's key-value store, accessed by calls with latency that may be lost. */
 export class FakeControlStore {
   readonly store = new standIns.KeyValueStore();
-  /** Whether it is out of reach. */
+  /** Whether the store is unreachable. */
   down = false;
-  readonly #round: simulations.Simulation;
+  readonly #simulation: simulations.Simulation;
 
-  /** @param round - time, draws and faults */
-  constructor(round: simulations.Simulation) {
-    this.#round = round;
+  /** @param simulation - shared time, random numbers and faults */
+  constructor(simulation: simulations.Simulation) {
+    this.#simulation = simulation;
   }
 
   /**
    * @param node - the process that writes
-   * @param transaction - the write
-   * @param done - told how it ended
+   * @param transaction - the transaction
+   * @param done - receives the result
    */
   transact(
     node: simulations.Node,
     transaction: core.Transaction,
     done: (result: core.TransactionResult) => void,
   ): void {
-    const lost = this.#round.random.next();
-    this.#round.afterCall(() => {
+    const draw = this.#simulation.random.next();
+    this.#simulation.afterCall(() => {
       if (this.down) {
         done({ outcome: core.TransactionOutcome.NotSent, revision: 0 });
         return;
       }
-      const { lostWrite, lostReply } = this.#round.faults;
-      if (lost < lostWrite) {
+      const { lostWrite, lostReply } = this.#simulation.faults;
+      if (draw < lostWrite) {
         done({ outcome: core.TransactionOutcome.Unknown, revision: 0 });
         return;
       }
       const applied = this.#apply(transaction, node.core.leaseId ?? "0");
-      const replyLost = lost < lostWrite + lostReply;
+      const replyLost = draw < lostWrite + lostReply;
       const outcome = applied ? core.TransactionOutcome.Applied : core.TransactionOutcome.Refused;
       done({ outcome: replyLost ? core.TransactionOutcome.Unknown : outcome, revision: this.store.revision });
     });
   }
 
   /**
-   * @param lease - the lease to renew, or undefined for a first one
-   * @param reply - told how it ended
+   * @param lease - the lease to renew, or undefined to grant a new one
+   * @param reply - receives the outcome
    */
   renew(lease: string | undefined, reply: simulations.Reply): void {
-    const { time } = this.#round;
+    const { time } = this.#simulation;
     const sentAt = time.now;
-    this.#round.afterCall(() => {
+    this.#simulation.afterCall(() => {
       if (this.down) {
         reply({ type: core.EventType.KeyValueFailed });
         return;
@@ -62,20 +62,22 @@
   }
 
   /**
-   * @param prefix - of the keys
-   * @param token - names the question
-   * @param reply - told what was read
+   * @param prefix - prefix of the keys
+   * @param token - identifies the read in the reply
+   * @param reply - receives the records
    */
   readKeys(prefix: string, token: string, reply: simulations.Reply): void {
-    this.#round.afterCall(() => {
+    this.#simulation.afterCall(() => {
       const records = this.down ? undefined : this.read(prefix);
       reply({ type: core.EventType.KeysRead, token, ...(records ? { records } : {}) });
     });
   }
 
   /**
-   * @param prefix - of the keys
-   * @returns the records under it, at once
+   * Reads records without latency or faults.
+   *
+   * @param prefix - prefix of the keys
+   * @returns the records
    */
   read(prefix: string): core.KeyRecord[] {
     return this.store.range(prefix, core.prefixEnd(prefix)).map((stored) => ({ ...stored }));
@@ -96,7 +98,7 @@
 
 /**
  * @param event - a change in the store
- * @returns the record as a watch tells it
+ * @returns the record as a watch reports it
  */
 export function toRecord(event: standIns.StoreEvent): core.KeyRecord {
   if (event.stored) return { ...event.stored };
--- a/packages/core/tests/helpers/fakeEndpoints.ts
+++ b/packages/core/tests/helpers/fakeEndpoints.ts
@@ -2,10 +2,10 @@
 import * as core from "../../src/index.js";
 import type * as simulations from "./simulation.js";
 
-/** Time that a call runs, in ways of a call. */
-const RUN_CALLS = 5;
+/** Run time of a call, as a multiple of a drawn network latency. */
+const RUN_LATENCIES = 5;
 
-/** What an endpoint carried out, in order. */
+/** One execution of a request at an endpoint. */
 export interface Execution {
   readonly endpoint: string;
   readonly request: string;
@@ -13,7 +13,7 @@
   readonly attempt: string;
 }
 
-/** The final word that a caller got. */
+/** The final result that a caller got. */
 export interface CallerResult {
   readonly request: string;
   readonly key: string;
@@ -21,52 +21,56 @@
   readonly problem?: common.Problem;
 }
 
-/** The endpoints that run calls, and the callers that hear of them. */
+/** Fake endpoints that run calls, and the results that their callers get. */
 export class FakeEndpoints {
   readonly executions: Execution[] = [];
   readonly callerResults: CallerResult[] = [];
-  readonly #round: simulations.Simulation;
+  readonly #simulation: simulations.Simulation;
   readonly #inFlight = new Map<string, Set<string>>();
   readonly #keys = new Map<string, string>();
 
-  /** @param round - time, draws and faults */
-  constructor(round: simulations.Simulation) {
-    this.#round = round;
+  /** @param simulation - shared time, random numbers and faults */
+  constructor(simulation: simulations.Simulation) {
+    this.#simulation = simulation;
   }
 
-  /** @param request - a request that a caller sends */
+  /**
+   * Records the key of a request.
+   *
+   * @param request - a request that a caller sends
+   */
   noteRequest(request: core.RequestDescription): void {
     this.#keys.set(request.id, request.key ?? "");
   }
 
   /**
    * @param endpoint - an endpoint
-   * @returns requests that run there
+   * @returns number of requests that run there
    */
   runningAt(endpoint: string): number {
     return this.#inFlight.get(endpoint)?.size ?? 0;
   }
 
   /**
-   * @param action - what is sent to an endpoint
-   * @param onSent - called before it is on its way
-   * @param reply - told how it ended
+   * @param action - the request to an endpoint
+   * @param onSent - called before the request is sent
+   * @param reply - receives the outcome
    */
   dispatch(action: core.DispatchAction, onSent: () => void, reply: simulations.Reply): void {
     const { request, attempt, endpoint } = action;
-    const draw = this.#round.random.next();
+    const draw = this.#simulation.random.next();
     onSent();
-    this.#round.afterCall(() => {
-      if (draw < this.#round.faults.endpointRefuses) {
+    this.#simulation.afterCall(() => {
+      if (draw < this.#simulation.faults.endpointRefuses) {
         reply({ type: core.EventType.AttemptFailed, request, attempt, outcome: core.SendOutcome.NotRun });
         return;
       }
       this.executions.push({ endpoint, request, key: this.#keys.get(request) ?? "", attempt });
-      const here = this.#inFlight.get(endpoint) ?? new Set<string>();
-      this.#inFlight.set(endpoint, here.add(request));
-      this.#round.time.after(this.#round.callMs() * RUN_CALLS, () => {
-        here.delete(request);
-        if (draw > 1 - this.#round.faults.endpointLost) {
+      const inFlight = this.#inFlight.get(endpoint) ?? new Set<string>();
+      this.#inFlight.set(endpoint, inFlight.add(request));
+      this.#simulation.time.after(this.#simulation.callMs() * RUN_LATENCIES, () => {
+        inFlight.delete(request);
+        if (draw > 1 - this.#simulation.faults.endpointLost) {
           reply({ type: core.EventType.AttemptFailed, request, attempt, outcome: core.SendOutcome.MayHaveRun });
           return;
         }
@@ -79,8 +83,8 @@
 
   /**
    * @param request - the request
-   * @param outcome - what its caller is told
-   * @param problem - why it was refused
+   * @param outcome - outcome that its caller gets
+   * @param problem - problem that its caller gets, if it was refused
    */
   recordCallerResult(request: string, outcome: CallerResult["outcome"], problem?: common.Problem): void {
     this.callerResults.push({ request, key: this.#keys.get(request) ?? "", outcome, ...(problem ? { problem } : {}) });
--- a/packages/core/tests/helpers/simulation.ts
+++ b/packages/core/tests/helpers/simulation.ts
@@ -2,16 +2,18 @@
 import type * as core from "../../src/index.js";
 import type * as virtualTimes from "./virtualTime.js";
 
-/** Longest way of a call, in milliseconds. */
-const CALL_MS = 20;
+/** Maximum one-way latency of a call, in milliseconds. */
+const MAX_LATENCY_MS = 20;
 
-/** Probabilities of faults, each between 0 and 1. */
+/** Probabilities of injected faults, each between 0 and 1. */
 export interface FaultRates {
   readonly lostReply: number;
+  /** The write never reaches the key-value store, and its outcome is unknown. */
   readonly lostWrite: number;
+  /** The endpoint runs the call, but the outcome is lost. */
   readonly endpointLost: number;
   readonly endpointRefuses: number;
-  /** An order's bytes linger in a buffer for seconds. */
+  /** An order's bytes stay in a buffer for seconds. */
   readonly lateOrder: number;
 }
 
@@ -26,35 +28,35 @@
   inFlightOrders: InFlightOrder[];
 }
 
-/** An order that is on its way, until its connection is reset. */
+/** An order in flight; cancelled when its connection is reset. */
 export interface InFlightOrder {
   cancelled: boolean;
 }
 
-/** Tells the process that asked of an event, after the way of a call. */
+/** Passes an event to the calling process after the latency of a call. */
 export type Reply = (event: core.CoreEvent) => void;
 
-/** What the fakes round the cores share: time, draws and faults. */
+/** Virtual time, random numbers and faults shared by the fakes. */
 export class Simulation {
   readonly time: virtualTimes.VirtualTime;
   readonly random: common.SeededRandom;
   faults: FaultRates = NO_FAULTS;
 
   /**
-   * @param time - the time
-   * @param random - of all draws
+   * @param time - the virtual time
+   * @param random - source of all random numbers
    */
   constructor(time: virtualTimes.VirtualTime, random: common.SeededRandom) {
     this.time = time;
     this.random = random;
   }
 
-  /** @returns the way of one call, drawn, in milliseconds */
+  /** @returns a random one-way latency in milliseconds */
   callMs(): number {
-    return 1 + this.random.integer(CALL_MS);
+    return 1 + this.random.integer(MAX_LATENCY_MS);
   }
 
-  /** @param run - what happens after the way of one call */
+  /** @param run - callback, run after a random one-way latency */
   afterCall(run: () => void): void {
     this.time.after(this.callMs(), run);
   }
--- a/packages/core/tests/helpers/virtualTime.ts
+++ b/packages/core/tests/helpers/virtualTime.ts
@@ -1,13 +1,13 @@
-interface Pending {
+interface ScheduledCall {
   readonly at: number;
   readonly sequence: number;
   readonly run: () => void;
 }
 
-/** Time that passes only while it is run; what falls on one instant happens in the order in which it was asked for. */
+/** Virtual clock that advances only in `run`; callbacks due at the same instant run in the order in which they were scheduled. */
 export class VirtualTime {
   #now = 0;
-  #pending: Pending[] = [];
+  #scheduled: ScheduledCall[] = [];
   #sequence = 0;
 
   /** @returns the current instant in milliseconds */
@@ -15,13 +15,17 @@
     return this.#now;
   }
 
-  /** @param milliseconds - how far to run */
+  /**
+   * Advances the clock and runs the callbacks that fall due.
+   *
+   * @param milliseconds - time to advance
+   */
   run(milliseconds: number): void {
     const end = this.#now + milliseconds;
     for (;;) {
-      const next = this.#pending[0];
+      const next = this.#scheduled[0];
       if (!next || next.at > end) break;
-      this.#pending.shift();
+      this.#scheduled.shift();
       this.#now = Math.max(this.#now, next.at);
       next.run();
     }
@@ -29,19 +33,23 @@
   }
 
   /**
-   * @param delayMs - from now
-   * @param run - what happens then
+   * Schedules a callback.
+   *
+   * @param delayMs - delay from now
+   * @param run - the callback
    */
   after(delayMs: number, run: () => void): void {
     const entry = { at: this.#now + delayMs, sequence: this.#sequence++, run };
-    let index = this.#pending.length;
-    while (index > 0 && isLater(this.#pending[index - 1], entry)) index--;
-    this.#pending.splice(index, 0, entry);
+    let index = this.#scheduled.length;
+    while (index > 0 && isLater(this.#scheduled[index - 1], entry)) index--;
+    this.#scheduled.splice(index, 0, entry);
   }
 
   /**
-   * @param milliseconds - from one run to the next
-   * @param run - what happens each time
+   * Schedules a callback repeatedly.
+   *
+   * @param milliseconds - interval between two runs
+   * @param run - the callback
    */
   every(milliseconds: number, run: () => void): void {
     this.after(milliseconds, () => {
@@ -51,6 +59,6 @@
   }
 }
 
-function isLater(left: Pending | undefined, right: Pending): boolean {
+function isLater(left: ScheduledCall | undefined, right: ScheduledCall): boolean {
   return left !== undefined && (left.at > right.at || (left.at === right.at && left.sequence > right.sequence));
 }
--- a/packages/core/tests/policy.test.ts
+++ b/packages/core/tests/policy.test.ts
@@ -34,12 +34,12 @@
       entries.forEach((change, index) => {
         queue.add(queued(String(index), change));
       });
-      let before: core.QueuedRequest | undefined;
+      let previous: core.QueuedRequest | undefined;
       for (let next = queue.first; next; next = queue.first) {
         queue.remove(next.id);
-        if (before) assert.ok(before.priority >= next.priority);
-        if (before?.priority === next.priority) assert.ok(before.deadline <= next.deadline);
-        before = next;
+        if (previous) assert.ok(previous.priority >= next.priority);
+        if (previous?.priority === next.priority) assert.ok(previous.deadline <= next.deadline);
+        previous = next;
       }
     }),
     { seed: 1 },
@@ -47,24 +47,24 @@
 });
 
 /*
- * More requests come than can be in time. The caller hears so at once, with
- * when to come back; nobody is held until the deadline and then refused.
+ * More requests arrive than can meet their deadlines. Callers must be refused at
+ * once with a retry delay, not held until the deadline and then refused.
  */
-admissionSuite("what can't be in time is refused at once with a time to come back", () => {
+admissionSuite("a request that can't meet its deadline is refused at once with a retry delay", () => {
   const queue = new core.AdmissionQueue();
   for (let index = 0; index < 100; index++) queue.add(queued(String(index)));
   const estimate = queue.estimate(queued("late"), POOL, 0);
   assert.not(estimate.feasible);
   assert.ok(estimate.retryAfterMs > 0);
   const next = queue.estimate(queued("later"), POOL, 0);
-  assert.ok(next.retryAfterMs > estimate.retryAfterMs, "times to come back are spread");
+  assert.ok(next.retryAfterMs > estimate.retryAfterMs, "retry delays are spread");
 });
 
 /*
- * A refused caller comes back when it was told to. What was booked for it has
- * kept new callers from taking its place.
+ * A refused caller retries at the given time. Its reservation must have kept new
+ * callers from taking the capacity.
  */
-admissionSuite("a caller that comes back when told finds its place kept", () => {
+admissionSuite("a caller that retries at the given time finds its capacity reserved", () => {
   const queue = new core.AdmissionQueue();
   const busy = { ...POOL, waitingTokens: 120_000 };
   const refused = queue.estimate(queued("first", { promptTokens: 8000, fingerprint: "first" }), busy, 0);
@@ -73,15 +73,15 @@
   const tight = { ...POOL, waitingTokens: 92_000 };
   const deadline = now + 10_000;
   assert.not(queue.estimate(queued("new", { deadline, promptTokens: 8000 }), tight, now).feasible);
-  const back = queued("again", { deadline, promptTokens: 8000, fingerprint: "first" });
-  assert.ok(queue.estimate(back, tight, now).feasible);
+  const retried = queued("again", { deadline, promptTokens: 8000, fingerprint: "first" });
+  assert.ok(queue.estimate(retried, tight, now).feasible);
 });
 
 /*
- * Long prompts wait at the other daemons. A short request that is first in its
- * own queue goes to the next engine with room; it is not refused on their account.
+ * Long prompts wait at the other daemons. A short request at the head of its own
+ * queue goes to the next engine with free capacity and must not be refused because of them.
  */
-admissionSuite("what waits elsewhere is not ahead of a request that is first here", () => {
+admissionSuite("work queued at other daemons is not ahead of a request at the head of this queue", () => {
   const queue = new core.AdmissionQueue();
   const busyPeers = { ...POOL, daemons: 3, peerQueues: { tokens: 200_000, requests: 40 } };
   assert.ok(queue.estimate(queued("short"), busyPeers, 0).feasible);
@@ -89,7 +89,7 @@
   assert.not(queue.estimate(queued("second"), busyPeers, 0).feasible);
 });
 
-admissionSuite("a request that waited too long is taken out before its deadline", () => {
+admissionSuite("a request that can no longer meet its deadline is removed before the deadline", () => {
   const queue = new core.AdmissionQueue();
   queue.add(queued("waits", { deadline: 1000, serviceMs: 400 }));
   assert.equal(queue.takeInfeasible(600), []);
@@ -103,10 +103,10 @@
 const work: core.WorkSize = { promptTokens: 1000, outputTokens: 50 };
 
 /*
- * An engine has crashed. It refuses connections faster than any other answers,
- * so it looks least loaded; yet it gets no further request for a while.
+ * A crashed engine refuses connections faster than others answer, so it looks
+ * least loaded. It must get no further requests during its backoff.
  */
-choiceSuite("an engine out of reach rests, and a request avoids where it failed", () => {
+choiceSuite("an unreachable engine is excluded for a backoff, and a request avoids engines at which it failed", () => {
   const choice = new core.EndpointChoice(new common.SeededRandom(1));
   const [dead, loaded] = [engine("dead"), engine("loaded")];
   loaded.onDispatched("other", { part: core.RequestPart.Whole, promptTokens: 500, outputTokens: 50, dispatchedAt: 0 });
@@ -118,12 +118,12 @@
 });
 
 /*
- * Many short prompts wait for a step each. Their overhead must not make the
- * engine look slow for long ones: requests would be refused without need.
+ * Many short prompts each wait for one step. If this overhead made the engine look
+ * slow for long prompts, requests would be refused unnecessarily.
  */
 choiceSuite("short prompts don't make an engine look slow", () => {
   const model = engine("engine", core.EndpointRole.Prefill);
-  const before = model.prefillTokenMs();
+  const initialTokenMs = model.prefillTokenMs();
   for (let index = 0; index < 500; index++) {
     const now = index * 100;
     const short = index % 2 === 0;
@@ -134,9 +134,9 @@
       outputTokens: 0,
       dispatchedAt: now,
     });
-    model.onEnded(String(index), now + (short ? 20 : 6000 * before));
+    model.onEnded(String(index), now + (short ? 20 : 6000 * initialTokenMs));
   }
-  assert.ok(model.prefillTokenMs() < before * 1.2);
+  assert.ok(model.prefillTokenMs() < initialTokenMs * 1.2);
 });
 
 choiceSuite.run();
@@ -149,7 +149,7 @@
   return planner;
 }
 
-function fleetOf(prefill: number, decode: number): core.PlannedEndpoint[] {
+function endpointsWith(prefill: number, decode: number): core.PlannedEndpoint[] {
   return Array.from({ length: prefill + decode }, (_, index) => ({
     id: `engine-${index}`,
     role: index < prefill ? core.EndpointRole.Prefill : core.EndpointRole.Decode,
@@ -160,20 +160,20 @@
 
 const DECODE_HEAVY: core.Demand = { prefillMs: 1, decodeMs: 3.2, mixedMs: 5 };
 
-plannerSuite("a lasting shift moves an engine, a weight above the gain does not", () => {
+plannerSuite("a lasting demand shift changes an engine's role, but not if the change weight exceeds the gain", () => {
   const planner = plannerAt(DECODE_HEAVY, 60);
-  const change = planner.plan(fleetOf(3, 3), 5000, 0, 60_000);
+  const change = planner.plan(endpointsWith(3, 3), 5000, 0, 60_000);
   assert.is(change?.role, core.EndpointRole.Decode);
-  assert.is(planner.plan(fleetOf(3, 3), 5000, (change?.gain ?? 0) + 1, 60_000), undefined);
+  assert.is(planner.plan(endpointsWith(3, 3), 5000, (change?.gain ?? 0) + 1, 60_000), undefined);
 });
 
-plannerSuite("a shift of a second moves nothing", () => {
+plannerSuite("a demand shift of one second changes no role", () => {
   const planner = plannerAt({ prefillMs: 2, decodeMs: 2, mixedMs: 4 }, 60);
   planner.onRequests(core.scaled(DECODE_HEAVY, 3000), 30, 60_000);
-  assert.is(planner.plan(fleetOf(3, 3), 5000, 10, 60_000), undefined);
+  assert.is(planner.plan(endpointsWith(3, 3), 5000, 10, 60_000), undefined);
 });
 
-plannerSuite("after a change the way back is never planned at the same demand", () => {
+plannerSuite("a role change is never reverted at the same demand", () => {
   const mix = fastCheck.record({
     prefillMs: fastCheck.double({ min: 0.1, max: 5, noNaN: true }),
     decodeMs: fastCheck.double({ min: 0.1, max: 5, noNaN: true }),
@@ -181,7 +181,7 @@
   fastCheck.assert(
     fastCheck.property(mix, fastCheck.integer({ min: 1, max: 5 }), (demand, prefill) => {
       const planner = plannerAt({ ...demand, mixedMs: 1.25 * (demand.prefillMs + demand.decodeMs) }, 60);
-      const endpoints = fleetOf(prefill, 6 - prefill);
+      const endpoints = endpointsWith(prefill, 6 - prefill);
       const change = planner.plan(endpoints, 5000, 0, 60_000);
       if (!change) return;
       const from = endpoints.find((endpoint) => endpoint.id === change.endpoint)?.role;
@@ -195,9 +195,9 @@
   );
 });
 
-plannerSuite("the last engines that make serving possible are never taken", () => {
+plannerSuite("the last prefill and the last decode engine never change their role", () => {
   const planner = plannerAt(DECODE_HEAVY, 60);
-  assert.is(planner.plan(fleetOf(1, 1), 5000, 0, 60_000), undefined);
+  assert.is(planner.plan(endpointsWith(1, 1), 5000, 0, 60_000), undefined);
 });
 
 plannerSuite.run();
@@ -205,8 +205,8 @@
 const budgetSuite = uvu.suite("retry budget");
 
 /*
- * All endpoints fail. Were each request tried three times, the load would triple
- * just then; the budget keeps retries to a tenth of the requests.
+ * If each request were tried three times while all endpoints fail, the load would
+ * triple. The budget limits retries to a tenth of the requests.
  */
 budgetSuite("retries stay within a tenth of the requests", () => {
   const budget = new core.RetryBudget();
--- a/packages/core/tests/streamAssembly.test.ts
+++ b/packages/core/tests/streamAssembly.test.ts
@@ -4,12 +4,12 @@
 import * as core from "../src/index.js";
 
 const pieces = fastCheck.array(fastCheck.string({ minLength: 1, maxLength: 3 }), { minLength: 1, maxLength: 20 });
-/** Short answers of few pieces, so that one is often the beginning of another. */
-const similar = fastCheck.array(fastCheck.constantFrom("a", "b"), { minLength: 1, maxLength: 5 });
-const breaks = fastCheck.array(fastCheck.integer({ min: 0, max: 20 }), { maxLength: 5 });
+/** Short answers over a small alphabet, so that one is often a prefix of another. */
+const similarAnswers = fastCheck.array(fastCheck.constantFrom("a", "b"), { minLength: 1, maxLength: 5 });
+const breakPoints = fastCheck.array(fastCheck.integer({ min: 0, max: 20 }), { maxLength: 5 });
 
-/** Feeds an answer whose connection breaks at the given places; resumes as told. */
-function readThrough(answer: readonly string[], breakAt: number[], sent: string[]): core.StreamStep {
+/** Reads an answer whose connection breaks at the given indices and resumes when the assembly says so. */
+function readWithBreaks(answer: readonly string[], breakAt: number[], sent: string[]): core.StreamStep {
   const assembly = new core.StreamAssembly(sent.slice());
   for (;;) {
     const stop = breakAt.shift();
@@ -28,14 +28,14 @@
 const assemblySuite = uvu.suite("stream assembly");
 
 /*
- * A stream breaks off at any places and is resumed, with pieces repeated. The
- * caller gets each piece once and in order, or no end marker.
+ * A stream breaks at arbitrary points and is resumed with repeated pieces. The
+ * caller must get each piece once and in order, or no end marker.
  */
-assemblySuite("what the caller has is the whole answer, or it is told that it is not", () => {
+assemblySuite("the caller gets the complete answer, or learns that it is incomplete", () => {
   fastCheck.assert(
-    fastCheck.property(pieces, breaks, (answer, breakAt) => {
+    fastCheck.property(pieces, breakPoints, (answer, breakAt) => {
       const sent: string[] = [];
-      const end = readThrough(answer, [...breakAt], sent);
+      const end = readWithBreaks(answer, [...breakAt], sent);
       if (end === core.StreamStep.Complete) assert.equal(sent, answer);
       else assert.equal(sent, answer.slice(0, sent.length));
     }),
@@ -44,17 +44,22 @@
 });
 
 /*
- * The engine dies after a part was sent, and another runs the request again.
- * Its answer differs. The caller never gets the one's beginning with the
- * other's end.
+ * An engine crashes after a part of its answer was sent, and another engine runs
+ * the request again with a different answer. The caller must never get the start
+ * of one answer with the end of the other.
  */
-assemblySuite("two attempts' answers are never joined unless they agree", () => {
+assemblySuite("two attempts' answers are never combined unless they agree", () => {
   fastCheck.assert(
-    fastCheck.property(similar, similar, fastCheck.integer({ min: 0, max: 5 }), (first, second, cutAt) => {
-      const sent = first.slice(0, cutAt);
-      const end = readThrough(second, [], sent);
-      if (end === core.StreamStep.Complete) assert.equal(sent, second);
-    }),
+    fastCheck.property(
+      similarAnswers,
+      similarAnswers,
+      fastCheck.integer({ min: 0, max: 5 }),
+      (first, second, cutAt) => {
+        const sent = first.slice(0, cutAt);
+        const end = readWithBreaks(second, [], sent);
+        if (end === core.StreamStep.Complete) assert.equal(sent, second);
+      },
+    ),
     { numRuns: 500, seed: 4 },
   );
 });
