--- a/packages/core/tests/helpers/fakeEngineOrders.ts
+++ b/packages/core/tests/helpers/fakeEngineOrders.ts
@@ -11,7 +11,7 @@
   readonly number: number;
   readonly epoch: number;
   readonly role: core.EndpointRole;
-  readonly obeyed: boolean;
+  readonly applied: boolean;
   /** The highest epoch among this order and the applied ones before it. */
   readonly newestEpoch: number;
 }
@@ -81,7 +81,7 @@
     const { endpoint, number, epoch, role } = action;
     const last = this.#lastOrders.get(endpoint) ?? { number: 0, epoch: 0 };
     const obeyed = !this.checksFencing.get(endpoint) || number >= last.number;
-    this.arrived.push({ endpoint, number, epoch, role, obeyed, newestEpoch: Math.max(last.epoch, epoch) });
+    this.arrived.push({ endpoint, number, epoch, role, applied: obeyed, newestEpoch: Math.max(last.epoch, epoch) });
     if (!obeyed) {
       reply({ type: core.EventType.OrderAnswered, endpoint, number, outcome: core.OrderOutcome.Stale });
       return;
--- a/packages/core/tests/orders.test.ts
+++ b/packages/core/tests/orders.test.ts
@@ -23,7 +23,7 @@
   for (const engine of ENGINES) {
     let newest = 0;
     for (const order of harness.orders) {
-      if (order.endpoint !== engine || !order.obeyed) continue;
+      if (order.endpoint !== engine || !order.applied) continue;
       assert.ok(order.number >= newest, `${engine} obeyed order ${order.number} after ${newest}`);
       newest = order.number;
     }
