--- a/packages/core/src/admission.ts
+++ b/packages/core/src/admission.ts
@@ -2,7 +2,7 @@
 export interface QueuedRequest {
   readonly id: string;
   readonly priority: number;
-  /** Monotonic time by which the whole answer must be complete. */
+  /** Monotonic time by which the answer must be complete. */
   readonly deadline: number;
   /** Prompt tokens to prefill; 0 for a plain call. */
   readonly promptTokens: number;
@@ -50,7 +50,7 @@
 const RETURN_LEARNING_RATE = 0.05;
 /** A caller that retries this much early still gets its reservation. */
 const EARLY_RETURN_TOLERANCE_MS = 250;
-/** A reservation is kept this long after the time given to the caller. */
+/** A reservation expires this long after its due time. */
 const RESERVATION_GRACE_MS = 1500;
 /** Reservations due within this time count as work ahead of new callers. */
 const RESERVATION_HORIZON_MS = 1500;
@@ -61,6 +61,7 @@
 
 /** Capacity reserved for the retry of a refused request. */
 interface Reservation {
+  /** Monotonic time at which the caller was told to retry. */
   readonly dueAt: number;
   readonly tokens: number;
 }
--- a/packages/core/src/requestDeduplicator.ts
+++ b/packages/core/src/requestDeduplicator.ts
@@ -32,7 +32,7 @@
 
   /**
    * @param context - dependencies on the rest of the daemon
-   * @param owner - operations on live requests
+   * @param requests - operations on live requests
    * @param attemptTable - the attempts claimed by this daemon
    */
   constructor(
--- a/packages/core/tests/helpers/fakeEngineOrders.ts
+++ b/packages/core/tests/helpers/fakeEngineOrders.ts
@@ -80,9 +80,9 @@
   #receive(action: core.SendOrderAction, reply: simulations.Reply): void {
     const { endpoint, number, epoch, role } = action;
     const last = this.#lastOrders.get(endpoint) ?? { number: 0, epoch: 0 };
-    const obeyed = !this.checksFencing.get(endpoint) || number >= last.number;
-    this.arrived.push({ endpoint, number, epoch, role, applied: obeyed, newestEpoch: Math.max(last.epoch, epoch) });
-    if (!obeyed) {
+    const applied = !this.checksFencing.get(endpoint) || number >= last.number;
+    this.arrived.push({ endpoint, number, epoch, role, applied, newestEpoch: Math.max(last.epoch, epoch) });
+    if (!applied) {
       reply({ type: core.EventType.OrderAnswered, endpoint, number, outcome: core.OrderOutcome.Stale });
       return;
     }
