--- a/packages/core/src/events.ts
+++ b/packages/core/src/events.ts
@@ -37,7 +37,7 @@
 }
 
 /** Whether a failed attempt was sent and may have run. */
-export enum SendOutcome {
+export enum DeliveryStatus {
   /** No byte of it was sent. */
   NeverSent = "never-sent",
   /** The endpoint answered that it did not run. */
@@ -136,7 +136,7 @@
       readonly type: EventType.AttemptFailed;
       readonly request: string;
       readonly attempt: string;
-      readonly outcome: SendOutcome;
+      readonly outcome: DeliveryStatus;
     }
   | { readonly type: EventType.CallerDisconnected; readonly request: string }
   | { readonly type: EventType.ClaimsAsked; readonly claims: readonly claims.Claim[] }
--- a/packages/core/src/requestManager.ts
+++ b/packages/core/src/requestManager.ts
@@ -135,14 +135,14 @@
    * @param outcome - whether it may have run
    * @param now - current time
    */
-  onAttemptFailed(id: string, attempt: string, outcome: events.SendOutcome, now: number): void {
+  onAttemptFailed(id: string, attempt: string, outcome: events.DeliveryStatus, now: number): void {
     const request = this.#findCurrent(id, attempt);
     if (!request) return;
     request.endpoint?.onEnded(id, now);
-    request.endpoint?.onFailure(now, outcome !== events.SendOutcome.NeverSent);
+    request.endpoint?.onFailure(now, outcome !== events.DeliveryStatus.NeverSent);
     if (request.endpoint) request.work = withAvoided(request.work, request.endpoint.id);
     delete request.endpoint;
-    const mayHaveRun = outcome === events.SendOutcome.MayHaveRun;
+    const mayHaveRun = outcome === events.DeliveryStatus.MayHaveRun;
     if (request.abandoned) this.#live.delete(id);
     else if (mayHaveRun && !request.idempotent) this.#refuseFailed(request, common.Outcome.Unknown, now);
     else if (this.#mayRetry(request, now)) this.#retry(request, now);
--- a/packages/daemon/src/dispatcher.ts
+++ b/packages/daemon/src/dispatcher.ts
@@ -86,17 +86,17 @@
     );
     if (reply.isErr()) {
       const neverSent = reply.error.reach === platform.FailureReach.NeverSent;
-      this.#failed(action, neverSent ? core.SendOutcome.NeverSent : core.SendOutcome.MayHaveRun);
+      this.#failed(action, neverSent ? core.DeliveryStatus.NeverSent : core.DeliveryStatus.MayHaveRun);
       return;
     }
     const { status, headers: received, body: answer } = reply.value;
     if (NOT_RUN_STATUSES.has(status) && received["x-outcome"] === "not-run") {
-      this.#failed(action, core.SendOutcome.NotRun);
+      this.#failed(action, core.DeliveryStatus.NotRun);
       return;
     }
     // The nonce tells an answer to this call from one to an earlier call on the same connection.
     if (received["x-request-id"] !== action.attempt) {
-      this.#failed(action, core.SendOutcome.MayHaveRun);
+      this.#failed(action, core.DeliveryStatus.MayHaveRun);
       return;
     }
     const contentType = received["content-type"];
@@ -171,7 +171,7 @@
     this.#sink({ type: core.EventType.AnswerDone, request, attempt, outputTokens, ...(kept ? { answer: kept } : {}) });
   }
 
-  #failed(action: core.DispatchAction, reach: core.SendOutcome): void {
+  #failed(action: core.DispatchAction, reach: core.DeliveryStatus): void {
     this.#metrics.count(`attempts_failed_${reach.replaceAll("-", "_")}_total`);
     this.#sink({
       type: core.EventType.AttemptFailed,
@@ -213,7 +213,7 @@
   return { path, attempt: action.attempt, body };
 }
 
-function reachOf(end: endpoints.StreamEnd): core.SendOutcome {
-  if (end === endpoints.StreamEnd.NeverSent) return core.SendOutcome.NeverSent;
-  return end === endpoints.StreamEnd.Refused ? core.SendOutcome.NotRun : core.SendOutcome.MayHaveRun;
+function reachOf(end: endpoints.StreamEnd): core.DeliveryStatus {
+  if (end === endpoints.StreamEnd.NeverSent) return core.DeliveryStatus.NeverSent;
+  return end === endpoints.StreamEnd.Refused ? core.DeliveryStatus.NotRun : core.DeliveryStatus.MayHaveRun;
 }
--- a/packages/measure/src/coreRouter.ts
+++ b/packages/measure/src/coreRouter.ts
@@ -193,7 +193,7 @@
           type: core.EventType.AttemptFailed,
           request,
           attempt,
-          outcome: core.SendOutcome.NotRun,
+          outcome: core.DeliveryStatus.NotRun,
         });
       },
     });
