--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -284,7 +284,7 @@
         this.requestManager.onAnswerDone(event, now);
         break;
       case events.EventType.AttemptFailed:
-        this.requestManager.onAttemptFailed(event.request, event.attempt, event.outcome, now);
+        this.requestManager.onAttemptFailed(event.request, event.attempt, event.delivery, now);
         break;
       case events.EventType.CallerDisconnected:
         this.requestManager.onCallerGone(event.request, now);
--- a/packages/core/src/events.ts
+++ b/packages/core/src/events.ts
@@ -136,7 +136,7 @@
       readonly type: EventType.AttemptFailed;
       readonly request: string;
       readonly attempt: string;
-      readonly outcome: DeliveryStatus;
+      readonly delivery: DeliveryStatus;
     }
   | { readonly type: EventType.CallerDisconnected; readonly request: string }
   | { readonly type: EventType.ClaimsAsked; readonly claims: readonly claims.Claim[] }
--- a/packages/core/tests/helpers/fakeEndpoints.ts
+++ b/packages/core/tests/helpers/fakeEndpoints.ts
@@ -62,7 +62,7 @@
     onSent();
     this.#simulation.afterCall(() => {
       if (draw < this.#simulation.faults.endpointRefuses) {
-        reply({ type: core.EventType.AttemptFailed, request, attempt, outcome: core.DeliveryStatus.NotRun });
+        reply({ type: core.EventType.AttemptFailed, request, attempt, delivery: core.DeliveryStatus.NotRun });
         return;
       }
       this.executions.push({ endpoint, request, key: this.#keys.get(request) ?? "", attempt });
@@ -71,7 +71,7 @@
       this.#simulation.time.after(this.#simulation.callMs() * RUN_LATENCIES, () => {
         inFlight.delete(request);
         if (draw > 1 - this.#simulation.faults.endpointLost) {
-          reply({ type: core.EventType.AttemptFailed, request, attempt, outcome: core.DeliveryStatus.MayHaveRun });
+          reply({ type: core.EventType.AttemptFailed, request, attempt, delivery: core.DeliveryStatus.MayHaveRun });
           return;
         }
         const answer = { status: 200, contentType: "text/plain", body: Buffer.from(attempt) };
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -291,7 +291,7 @@
     if (exchange) void this.dispatcher.dispatch(action, exchange).then(() => this.#forgetEnded(action.request));
     else {
       const { request, attempt } = action;
-      this.handle({ type: core.EventType.AttemptFailed, request, attempt, outcome: core.DeliveryStatus.NeverSent });
+      this.handle({ type: core.EventType.AttemptFailed, request, attempt, delivery: core.DeliveryStatus.NeverSent });
     }
   }
 
--- a/packages/daemon/src/dispatcher.ts
+++ b/packages/daemon/src/dispatcher.ts
@@ -177,7 +177,7 @@
       type: core.EventType.AttemptFailed,
       request: action.request,
       attempt: action.attempt,
-      outcome: reach,
+      delivery: reach,
     });
   }
 }
--- a/packages/measure/src/coreRouter.ts
+++ b/packages/measure/src/coreRouter.ts
@@ -193,7 +193,7 @@
           type: core.EventType.AttemptFailed,
           request,
           attempt,
-          outcome: core.DeliveryStatus.NotRun,
+          delivery: core.DeliveryStatus.NotRun,
         });
       },
     });
