--- a/packages/core/src/requestManager.ts
+++ b/packages/core/src/requestManager.ts
@@ -132,17 +132,17 @@
    *
    * @param id - id of the request
    * @param attempt - the attempt that failed
-   * @param outcome - whether it may have run
+   * @param delivery - whether it may have run
    * @param now - current time
    */
-  onAttemptFailed(id: string, attempt: string, outcome: events.DeliveryStatus, now: number): void {
+  onAttemptFailed(id: string, attempt: string, delivery: events.DeliveryStatus, now: number): void {
     const request = this.#findCurrent(id, attempt);
     if (!request) return;
     request.endpoint?.onEnded(id, now);
-    request.endpoint?.onFailure(now, outcome !== events.DeliveryStatus.NeverSent);
+    request.endpoint?.onFailure(now, delivery !== events.DeliveryStatus.NeverSent);
     if (request.endpoint) request.work = withAvoided(request.work, request.endpoint.id);
     delete request.endpoint;
-    const mayHaveRun = outcome === events.DeliveryStatus.MayHaveRun;
+    const mayHaveRun = delivery === events.DeliveryStatus.MayHaveRun;
     if (request.abandoned) this.#live.delete(id);
     else if (mayHaveRun && !request.idempotent) this.#refuseFailed(request, common.Outcome.Unknown, now);
     else if (this.#mayRetry(request, now)) this.#retry(request, now);
