--- a/packages/core/src/streamAssembly.ts
+++ b/packages/core/src/streamAssembly.ts
@@ -43,7 +43,7 @@
    * @param content - its content
    * @returns what to do
    */
-  onPiece(index: number, content: string): StreamStep {
+  onChunk(index: number, content: string): StreamStep {
     if (index < this.#nextIndex) return StreamStep.Skip;
     if (index > this.#nextIndex) return this.#resumeOrFail();
     const sent = this.#alreadySent[index];
--- a/packages/core/tests/streamAssembly.test.ts
+++ b/packages/core/tests/streamAssembly.test.ts
@@ -16,7 +16,7 @@
     for (let index = Math.max(0, assembly.nextIndex - 1); index < answer.length; index++) {
       if (index === stop) break;
       const content = answer[index] ?? "";
-      const step = assembly.onPiece(index, content);
+      const step = assembly.onChunk(index, content);
       if (step === core.StreamStep.Forward) sent.push(content);
       if (step === core.StreamStep.Fail) return step;
     }
@@ -66,8 +66,8 @@
 
 assemblySuite("a missing piece asks for a resume", () => {
   const assembly = new core.StreamAssembly();
-  assert.is(assembly.onPiece(0, "a"), core.StreamStep.Forward);
-  assert.is(assembly.onPiece(2, "c"), core.StreamStep.Resume);
+  assert.is(assembly.onChunk(0, "a"), core.StreamStep.Forward);
+  assert.is(assembly.onChunk(2, "c"), core.StreamStep.Resume);
   assert.is(assembly.nextIndex, 1);
 });
 
--- a/packages/daemon/src/callerServer.ts
+++ b/packages/daemon/src/callerServer.ts
@@ -113,7 +113,7 @@
     const assembly = new core.StreamAssembly();
     const onPiece = (piece: endpoints.StreamPiece): boolean => {
       if (!outgoing.headersSent) outgoing.writeHead(200, { "content-type": "text/event-stream" });
-      const step = assembly.onPiece(piece.index - stream.from, piece.content);
+      const step = assembly.onChunk(piece.index - stream.from, piece.content);
       if (step !== core.StreamStep.Forward) return step === core.StreamStep.Skip;
       outgoing.write(`id: ${stream.endpointId}/${stream.attempt}/${piece.index}\ndata: ${piece.data}\n\n`);
       return true;
--- a/packages/daemon/src/dispatcher.ts
+++ b/packages/daemon/src/dispatcher.ts
@@ -195,7 +195,7 @@
   }
 
   readonly read = (piece: endpoints.StreamPiece): boolean => {
-    const step = this.#assembly.onPiece(piece.index, piece.content);
+    const step = this.#assembly.onChunk(piece.index, piece.content);
     if (step === core.StreamStep.Forward) this.#forward(piece);
     this.wantsResume = step === core.StreamStep.Resume;
     return step === core.StreamStep.Forward || step === core.StreamStep.Skip;
