--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -37,7 +37,7 @@
 /** An instant by the monotonic and the wall clock, in milliseconds. */
 export interface Instant {
   readonly now: number;
-  readonly wall: number;
+  readonly systemTime: number;
 }
 
 const DEFAULT_ANSWER_BYTES = 16 * 1024 * 1024;
@@ -52,7 +52,7 @@
  * @example
  * ```ts
  * const core = new Core({ registration, seed: 1 });
- * const actions = core.handle({ type: EventType.Tick }, { now: 0, wall: Date.now() });
+ * const actions = core.handle({ type: EventType.Tick }, { now: 0, systemTime: Date.now() });
  * ```
  */
 export class Core {
@@ -73,7 +73,7 @@
   readonly #loads = new Map<string, orderContext.SeenLoad>();
   #nextSlowTickAt = 0;
   #actions: actions.Action[] = [];
-  #instant: Instant = { now: 0, wall: 0 };
+  #instant: Instant = { now: 0, systemTime: 0 };
 
   /** @param options - registration, seed and policy */
   constructor(options: CoreOptions) {
@@ -170,7 +170,7 @@
     this.#instant = instant;
     this.#checkPause(instant.now);
     this.#apply(event, instant.now);
-    this.#claimDesk.run(instant.now, instant.wall);
+    this.#claimDesk.run(instant.now, instant.systemTime);
     const result = this.#actions;
     this.#actions = [];
     return result;
--- a/packages/core/tests/configuration.test.ts
+++ b/packages/core/tests/configuration.test.ts
@@ -152,7 +152,7 @@
   const only = harness.start("vm-1");
   harness.run(3000);
   const request = documents.plainCall("late", "key");
-  const instant = { now: harness.now + 20_000, wall: 0 };
+  const instant = { now: harness.now + 20_000, systemTime: 0 };
   const actions = only.handle({ type: core.EventType.RequestArrived, request }, instant);
   const refusal = actions.find((action) => action.type === core.ActionType.Refuse);
   assert.is(refusal?.type === core.ActionType.Refuse && refusal.problem.kind, common.ProblemKind.Isolated);
--- a/packages/core/tests/helpers/coreHarness.ts
+++ b/packages/core/tests/helpers/coreHarness.ts
@@ -221,7 +221,7 @@
       });
       return;
     }
-    const actions = node.core.handle(event, { now: this.now, wall: WALL_START + this.now });
+    const actions = node.core.handle(event, { now: this.now, systemTime: WALL_START + this.now });
     for (const action of actions) this.#executor.execute(vm, node, action);
   }
 
--- a/packages/core/tests/orders.test.ts
+++ b/packages/core/tests/orders.test.ts
@@ -182,7 +182,7 @@
 
 function captureOrderWrite(harness: coreHarness.CoreHarness, holder: core.Core): core.Transaction {
   const records = harness.store.range(core.constants.CONTROL_PREFIX, core.prefixEnd(core.constants.CONTROL_PREFIX));
-  const instant = { now: harness.now, wall: 0 };
+  const instant = { now: harness.now, systemTime: 0 };
   const type = core.EventType.ControlSnapshot;
   const actions = [
     ...holder.handle({ type, records, revision: harness.store.revision }, instant),
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -129,7 +129,7 @@
    */
   handle(event: core.CoreEvent): void {
     const before = this.clock.now();
-    const actions = this.core.handle(event, { now: before, wall: this.clock.wall() });
+    const actions = this.core.handle(event, { now: before, systemTime: this.clock.wall() });
     this.metrics.record(metrics.Duration.Handle, (this.clock.now() - before) * 1000);
     for (const action of actions) this.#carryOut(action);
     this.#wakeForClaims();
@@ -226,7 +226,7 @@
   async close(): Promise<void> {
     for (const timer of this.#timers) clearInterval(timer);
     clearTimeout(this.#claimTimer);
-    const farewell = this.core.markStopped({ now: this.clock.now(), wall: this.clock.wall() });
+    const farewell = this.core.markStopped({ now: this.clock.now(), systemTime: this.clock.wall() });
     for (const action of farewell) {
       if (action.type === core.ActionType.Transact) await this.keyValue.write(action.transaction, this.core.leaseId);
     }
--- a/packages/measure/src/coreRouter.ts
+++ b/packages/measure/src/coreRouter.ts
@@ -139,7 +139,7 @@
 
   #handle(target: core.Core, event: core.CoreEvent): void {
     const before = performance.now();
-    const actions = target.handle(event, { now: this.#fleet.now, wall: WALL_START + this.#fleet.now });
+    const actions = target.handle(event, { now: this.#fleet.now, systemTime: WALL_START + this.#fleet.now });
     this.#outcome.decisionMicroseconds += (performance.now() - before) * 1000;
     if (event.type === core.EventType.RequestArrived) this.#outcome.decisions++;
     for (const action of actions) this.#carryOut(target, action);
--- a/packages/measure/src/slopesMeasure.ts
+++ b/packages/measure/src/slopesMeasure.ts
@@ -96,15 +96,18 @@
       const id = `r-${index}`;
       const actions = target.handle(
         { type: core.EventType.RequestArrived, request: requestOf(id) },
-        { now: at, wall: at },
+        { now: at, systemTime: at },
       );
       const dispatch = actions.find((action) => action.type === core.ActionType.Dispatch);
       if (dispatch?.type !== core.ActionType.Dispatch) return;
       const { attempt } = dispatch;
-      target.handle({ type: core.EventType.AnswerDone, request: id, attempt, outputTokens: 10 }, { now: at, wall: at });
+      target.handle(
+        { type: core.EventType.AnswerDone, request: id, attempt, outputTokens: 10 },
+        { now: at, systemTime: at },
+      );
     });
     const tick = timeOf(500, (index) => {
-      target.handle({ type: core.EventType.Tick }, { now: 10_000 + index * 100, wall: 0 });
+      target.handle({ type: core.EventType.Tick }, { now: 10_000 + index * 100, systemTime: 0 });
     });
     const heartbeat = JSON.stringify(target.heartbeat(10_000)).length;
     lines.push({
@@ -119,7 +122,7 @@
     const target = coreWith(3, teams);
     const after = process.memoryUsage().heapUsed;
     const tick = timeOf(50, (index) => {
-      target.handle({ type: core.EventType.Tick }, { now: 10_000 + index * 100, wall: 0 });
+      target.handle({ type: core.EventType.Tick }, { now: 10_000 + index * 100, systemTime: 0 });
     });
     const kilobytes = ((after - before) / 1024 / teams).toFixed(1);
     lines.push({ measure: `core: ${teams} teams of 3 engines`, "µs a tick": tick.toFixed(0), "KB a team": kilobytes });
@@ -152,7 +155,7 @@
       modRevision: 1 + team,
     };
   });
-  target.handle({ type: core.EventType.ControlSnapshot, records, revision: teams + 1 }, { now: 0, wall: 0 });
+  target.handle({ type: core.EventType.ControlSnapshot, records, revision: teams + 1 }, { now: 0, systemTime: 0 });
   return target;
 }
 
