--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -34,7 +34,7 @@
   readonly answerBytes?: number;
 }
 
-/** An instant by the monotonic and the wall clock, in milliseconds. */
+/** An instant by the monotonic clock (`now`) and the system clock, in milliseconds. */
 export interface Instant {
   readonly now: number;
   readonly systemTime: number;
--- a/packages/core/src/streamAssembly.ts
+++ b/packages/core/src/streamAssembly.ts
@@ -1,8 +1,8 @@
-/** Next step after a piece of a stream was received or its connection was lost. */
+/** Next step after a chunk of a stream was received or its connection was lost. */
 export enum StreamStep {
-  /** Forward the piece to the caller. */
+  /** Forward the chunk to the caller. */
   Forward = "forward",
-  /** Drop the piece: the caller already has it. */
+  /** Drop the chunk: the caller already has it. */
   Skip = "skip",
   /** The answer is complete. */
   Complete = "complete",
@@ -15,12 +15,12 @@
 const MAX_RESUMES = 3;
 
 /**
- * Checks the pieces of one attempt's stream. An answer counts as complete only
+ * Checks the chunks of one attempt's stream. An answer counts as complete only
  * with its end marker and consecutive indices from 0 on: otherwise a connection
  * that closes early would look like a short answer.
  *
- * If an earlier attempt already sent pieces to the caller, this attempt must
- * start with the same pieces; a caller must never get the first part of one
+ * If an earlier attempt already sent chunks to the caller, this attempt must
+ * start with the same chunks; a caller must never get the first part of one
  * answer and the rest of another.
  */
 export class StreamAssembly {
@@ -28,18 +28,18 @@
   #nextIndex = 0;
   #resumes = 0;
 
-  /** @param alreadySent - pieces sent to the caller by an earlier attempt */
+  /** @param alreadySent - chunks sent to the caller by an earlier attempt */
   constructor(alreadySent: readonly string[] = []) {
     this.#alreadySent = alreadySent;
   }
 
-  /** @returns the expected index of the next piece */
+  /** @returns the expected index of the next chunk */
   get nextIndex(): number {
     return this.#nextIndex;
   }
 
   /**
-   * @param index - the piece's index
+   * @param index - the chunk's index
    * @param content - its content
    * @returns what to do
    */
--- a/packages/core/tests/helpers/coreHarness.ts
+++ b/packages/core/tests/helpers/coreHarness.ts
@@ -11,7 +11,7 @@
 const TICK_MS = 50;
 const EXCHANGE_MS = 500;
 const LEASE_CHECK_MS = 100;
-const WALL_START = 1_700_000_000_000;
+const SYSTEM_TIME_START = 1_700_000_000_000;
 
 /** Runs several cores with the stand-in's key-value store and fake endpoints, in virtual time and with seeded randomness. */
 export class CoreHarness {
@@ -221,7 +221,7 @@
       });
       return;
     }
-    const actions = node.core.handle(event, { now: this.now, systemTime: WALL_START + this.now });
+    const actions = node.core.handle(event, { now: this.now, systemTime: SYSTEM_TIME_START + this.now });
     for (const action of actions) this.#executor.execute(vm, node, action);
   }
 
--- a/packages/core/tests/streamAssembly.test.ts
+++ b/packages/core/tests/streamAssembly.test.ts
@@ -3,7 +3,7 @@
 import * as assert from "uvu/assert";
 import * as core from "../src/index.js";
 
-const pieces = fastCheck.array(fastCheck.string({ minLength: 1, maxLength: 3 }), { minLength: 1, maxLength: 20 });
+const chunks = fastCheck.array(fastCheck.string({ minLength: 1, maxLength: 3 }), { minLength: 1, maxLength: 20 });
 /** Short answers over a small alphabet, so that one is often a prefix of another. */
 const similarAnswers = fastCheck.array(fastCheck.constantFrom("a", "b"), { minLength: 1, maxLength: 5 });
 const breakPoints = fastCheck.array(fastCheck.integer({ min: 0, max: 20 }), { maxLength: 5 });
@@ -28,12 +28,12 @@
 const assemblySuite = uvu.suite("stream assembly");
 
 /*
- * A stream breaks at arbitrary points and is resumed with repeated pieces. The
- * caller must get each piece once and in order, or no end marker.
+ * A stream breaks at arbitrary points and is resumed with repeated chunks. The
+ * caller must get each chunk once and in order, or no end marker.
  */
 assemblySuite("the caller gets the complete answer, or learns that it is incomplete", () => {
   fastCheck.assert(
-    fastCheck.property(pieces, breakPoints, (answer, breakAt) => {
+    fastCheck.property(chunks, breakPoints, (answer, breakAt) => {
       const sent: string[] = [];
       const end = readWithBreaks(answer, [...breakAt], sent);
       if (end === core.StreamStep.Complete) assert.equal(sent, answer);
@@ -64,7 +64,7 @@
   );
 });
 
-assemblySuite("a missing piece asks for a resume", () => {
+assemblySuite("a missing chunk asks for a resume", () => {
   const assembly = new core.StreamAssembly();
   assert.is(assembly.onChunk(0, "a"), core.StreamStep.Forward);
   assert.is(assembly.onChunk(2, "c"), core.StreamStep.Resume);
