--- a/packages/core/src/controlEvents.ts
+++ b/packages/core/src/controlEvents.ts
@@ -52,7 +52,7 @@
         this.#parts.follower.apply(event.records, now);
         if (event.completeRevision !== undefined) this.#parts.store.completeUpTo(event.completeRevision);
         break;
-      case events.EventType.KeyValueHeard:
+      case events.EventType.KeyValueResponded:
         this.#onKeyValueHeard(event.revision, now);
         break;
       case events.EventType.KeyValueFailed:
@@ -72,7 +72,7 @@
       case events.EventType.KeysRead:
         this.#onKeysRead(event.token, event.records, now);
         break;
-      case events.EventType.PeerHeard:
+      case events.EventType.PeerReported:
         this.#onPeerHeard(event.report, now);
         break;
       case events.EventType.VmsListed:
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,6 +1,6 @@
 /**
- * The decisions of a daemon, without input or output. {@link Core} is the
- * front door; the other modules can each be driven alone.
+ * The decision logic of a daemon, without input or output. {@link Core} is the
+ * entry point; the other modules can also be used on their own.
  */
 export * from "./actions.js";
 export * from "./admission.js";
@@ -15,7 +15,7 @@
 export * from "./controlStore.js";
 export * from "./core.js";
 export * from "./drains.js";
-export * from "./duplicateDesk.js";
+export * from "./requestDeduplicator.js";
 export * from "./engineCosts.js";
 export * from "./events.js";
 export * from "./keyValueTypes.js";
@@ -27,7 +27,7 @@
 export * from "./orderDesk.js";
 export * from "./orders.js";
 export * from "./peerView.js";
-export * from "./requestDesk.js";
+export * from "./requestManager.js";
 export * from "./requestProblems.js";
 export * from "./retryBudget.js";
 export * from "./rolePlanner.js";
--- a/packages/core/tests/helpers/actionCarrier.ts
+++ b/packages/core/tests/helpers/actionExecutor.ts
@@ -2,42 +2,42 @@
 import type * as fakeControlStores from "./fakeControlStore.js";
 import type * as fakeEndpoints from "./fakeEndpoints.js";
 import type * as fakeEngineOrders from "./fakeEngineOrders.js";
-import * as peerQuestions from "./peerQuestions.js";
-import type * as surroundings from "./surroundings.js";
+import * as peerCalls from "./peerCalls.js";
+import type * as simulations from "./simulation.js";
 
-/** What actions are carried out on. */
-export interface CarrierParts {
-  readonly round: surroundings.Surroundings;
+/** The simulated environment in which actions are executed. */
+export interface ActionExecutorParts {
+  readonly simulation: simulations.Simulation;
   readonly control: fakeControlStores.FakeControlStore;
   readonly endpoints: fakeEndpoints.FakeEndpoints;
   readonly engines: fakeEngineOrders.FakeEngineOrders;
-  readonly nodeOf: (vm: string) => surroundings.Node | undefined;
-  /** Hands a process an event, even if another runs on its VM by now. */
-  readonly handle: (vm: string, node: surroundings.Node, event: core.CoreEvent) => void;
+  readonly nodeOf: (vm: string) => simulations.Node | undefined;
+  /** Passes an event to a process, even if another one has replaced it on its VM. */
+  readonly handle: (vm: string, node: simulations.Node, event: core.CoreEvent) => void;
   readonly onDispatched: (vm: string, action: core.DispatchAction) => void;
 }
 
-/** Carries the cores' actions out on the fakes round them. */
-export class ActionCarrier {
-  readonly #parts: CarrierParts;
-  readonly #questions: peerQuestions.PeerQuestions;
+/** Executes the cores' actions on the fakes. */
+export class ActionExecutor {
+  readonly #parts: ActionExecutorParts;
+  readonly #peerCalls: peerCalls.PeerCalls;
 
-  /** @param parts - what actions are carried out on */
-  constructor(parts: CarrierParts) {
+  /** @param parts - the simulated environment */
+  constructor(parts: ActionExecutorParts) {
     this.#parts = parts;
-    this.#questions = new peerQuestions.PeerQuestions(parts.round, (vm, event) => {
+    this.#peerCalls = new peerCalls.PeerCalls(parts.simulation, (vm, event) => {
       this.#deliver(vm, event);
     });
   }
 
   /**
-   * @param vm - whose process acts
-   * @param node - the process
-   * @param action - what it wants done
+   * @param vm - VM of the process
+   * @param node - the process that emitted the action
+   * @param action - the action to execute
    */
-  carryOut(vm: string, node: surroundings.Node, action: core.Action): void {
-    const reply: surroundings.Reply = (event) => {
-      this.#parts.round.afterCall(() => {
+  execute(vm: string, node: simulations.Node, action: core.Action): void {
+    const reply: simulations.Reply = (event) => {
+      this.#parts.simulation.afterCall(() => {
         this.#parts.handle(vm, node, event);
       });
     };
@@ -54,25 +54,25 @@
         this.#parts.control.renew(action.lease, reply);
         break;
       case core.ActionType.AskClaim:
-        this.#questions.askClaim(action, reply);
+        this.#peerCalls.askClaim(action, reply);
         break;
       case core.ActionType.AnswerClaims:
-        for (const answer of action.answers) this.#questions.settle(answer.claim.attempt, answer);
+        for (const answer of action.answers) this.#peerCalls.settle(answer.claim.attempt, answer);
         break;
       case core.ActionType.AskJoin:
-        this.#questions.askJoin(action, reply);
+        this.#peerCalls.askJoin(action, reply);
         break;
       case core.ActionType.AnswerJoin:
-        this.#questions.settle(action.join, action);
+        this.#peerCalls.settle(action.join, action);
         break;
       case core.ActionType.Dispatch:
         this.#parts.endpoints.dispatch(action, () => this.#parts.onDispatched(vm, action), reply);
         break;
       case core.ActionType.Refuse:
-        this.#parts.endpoints.tellCaller(action.request, action.problem.outcome, action.problem);
+        this.#parts.endpoints.recordCallerResult(action.request, action.problem.outcome, action.problem);
         break;
       case core.ActionType.Relay:
-        this.#parts.endpoints.tellCaller(action.request, "answered");
+        this.#parts.endpoints.recordCallerResult(action.request, "answered");
         break;
       case core.ActionType.SendOrder:
         this.#parts.engines.send(node, action, reply);
@@ -81,7 +81,7 @@
         this.#askDepose(action, reply);
         break;
       case core.ActionType.PushRecords:
-        this.#parts.round.afterCall(() => {
+        this.#parts.simulation.afterCall(() => {
           const { records, completeRevision } = action;
           this.#deliver(action.to.vm, { type: core.EventType.ControlChanges, records, completeRevision });
         });
@@ -91,13 +91,13 @@
     }
   }
 
-  #askDepose(action: Extract<core.Action, { type: core.ActionType.AskDepose }>, reply: surroundings.Reply): void {
+  #askDepose(action: Extract<core.Action, { type: core.ActionType.AskDepose }>, reply: simulations.Reply): void {
     const { vm, shard, epoch } = action;
-    this.#parts.round.afterCall(() => {
+    this.#parts.simulation.afterCall(() => {
       const node = this.#parts.nodeOf(vm);
-      if (!node?.alive || node.pausedUntil > this.#parts.round.time.now) return;
+      if (!node?.alive || node.pausedUntil > this.#parts.simulation.time.now) return;
       this.#parts.handle(vm, node, { type: core.EventType.DeposeAsked, shard, epoch });
-      for (const token of node.orderTokens) token.cancelled = true;
+      for (const token of node.inFlightOrders) token.cancelled = true;
       const { incarnation } = node.core.registration;
       reply({ type: core.EventType.DeposeAnswered, vm, shard, epoch, incarnation, reset: true });
     });
--- a/packages/core/tests/helpers/fakeEndpoints.ts
+++ b/packages/core/tests/helpers/fakeEndpoints.ts
@@ -1,11 +1,11 @@
 import type * as common from "@camphorcourse/common";
 import * as core from "../../src/index.js";
-import type * as surroundings from "./surroundings.js";
+import type * as simulations from "./simulation.js";
 
-/** Time that a call runs, in ways of a call. */
-const RUN_CALLS = 5;
+/** Run time of a call, as a multiple of a drawn network latency. */
+const RUN_LATENCIES = 5;
 
-/** What an endpoint carried out, in order. */
+/** One execution of a request at an endpoint. */
 export interface Execution {
   readonly endpoint: string;
   readonly request: string;
@@ -13,65 +13,69 @@
   readonly attempt: string;
 }
 
-/** The final word that a caller got. */
-export interface FinalWord {
+/** The final result that a caller got. */
+export interface CallerResult {
   readonly request: string;
   readonly key: string;
   readonly outcome: "answered" | common.Outcome;
   readonly problem?: common.Problem;
 }
 
-/** The endpoints that run calls, and the callers that hear of them. */
+/** Fake endpoints that run calls, and the results that their callers get. */
 export class FakeEndpoints {
   readonly executions: Execution[] = [];
-  readonly words: FinalWord[] = [];
-  readonly #round: surroundings.Surroundings;
+  readonly callerResults: CallerResult[] = [];
+  readonly #simulation: simulations.Simulation;
   readonly #inFlight = new Map<string, Set<string>>();
   readonly #keys = new Map<string, string>();
 
-  /** @param round - time, draws and faults */
-  constructor(round: surroundings.Surroundings) {
-    this.#round = round;
+  /** @param simulation - shared time, random numbers and faults */
+  constructor(simulation: simulations.Simulation) {
+    this.#simulation = simulation;
   }
 
-  /** @param request - a request that a caller sends */
+  /**
+   * Records the key of a request.
+   *
+   * @param request - a request that a caller sends
+   */
   noteRequest(request: core.RequestDescription): void {
     this.#keys.set(request.id, request.key ?? "");
   }
 
   /**
    * @param endpoint - an endpoint
-   * @returns requests that run there
+   * @returns number of requests that run there
    */
   runningAt(endpoint: string): number {
     return this.#inFlight.get(endpoint)?.size ?? 0;
   }
 
   /**
-   * @param action - what is sent to an endpoint
-   * @param onSent - called before it is on its way
-   * @param reply - told how it ended
+   * @param action - the request to an endpoint
+   * @param onSent - called before the request is sent
+   * @param reply - receives the outcome
    */
-  dispatch(action: core.DispatchAction, onSent: () => void, reply: surroundings.Reply): void {
+  dispatch(action: core.DispatchAction, onSent: () => void, reply: simulations.Reply): void {
     const { request, attempt, endpoint } = action;
-    const draw = this.#round.random.next();
+    const draw = this.#simulation.random.next();
     onSent();
-    this.#round.afterCall(() => {
-      if (draw < this.#round.faults.endpointRefuses) {
-        reply({ type: core.EventType.AttemptFailed, request, attempt, reach: core.Reach.NotRun });
+    this.#simulation.afterCall(() => {
+      if (draw < this.#simulation.faults.endpointRefuses) {
+        reply({ type: core.EventType.AttemptFailed, request, attempt, delivery: core.DeliveryStatus.NotRun });
         return;
       }
       this.executions.push({ endpoint, request, key: this.#keys.get(request) ?? "", attempt });
-      const here = this.#inFlight.get(endpoint) ?? new Set<string>();
-      this.#inFlight.set(endpoint, here.add(request));
-      this.#round.time.after(this.#round.callMs() * RUN_CALLS, () => {
-        here.delete(request);
-        if (draw > 1 - this.#round.faults.endpointLost) {
-          reply({ type: core.EventType.AttemptFailed, request, attempt, reach: core.Reach.MayHaveRun });
+      const inFlight = this.#inFlight.get(endpoint) ?? new Set<string>();
+      this.#inFlight.set(endpoint, inFlight.add(request));
+      this.#simulation.time.after(this.#simulation.callMs() * RUN_LATENCIES, () => {
+        inFlight.delete(request);
+        if (draw > 1 - this.#simulation.faults.endpointLost) {
+          reply({ type: core.EventType.AttemptFailed, request, attempt, delivery: core.DeliveryStatus.MayHaveRun });
           return;
         }
         const answer = { status: 200, contentType: "text/plain", body: Buffer.from(attempt) };
-        this.tellCaller(request, "answered");
+        this.recordCallerResult(request, "answered");
         reply({ type: core.EventType.AnswerDone, request, attempt, outputTokens: 1, answer });
       });
     });
@@ -79,10 +83,10 @@
 
   /**
    * @param request - the request
-   * @param outcome - what its caller is told
-   * @param problem - why it was refused
+   * @param outcome - outcome that its caller gets
+   * @param problem - problem that its caller gets, if it was refused
    */
-  tellCaller(request: string, outcome: FinalWord["outcome"], problem?: common.Problem): void {
-    this.words.push({ request, key: this.#keys.get(request) ?? "", outcome, ...(problem ? { problem } : {}) });
+  recordCallerResult(request: string, outcome: CallerResult["outcome"], problem?: common.Problem): void {
+    this.callerResults.push({ request, key: this.#keys.get(request) ?? "", outcome, ...(problem ? { problem } : {}) });
   }
 }
--- a/packages/core/tests/orders.test.ts
+++ b/packages/core/tests/orders.test.ts
@@ -23,7 +23,7 @@
   for (const engine of ENGINES) {
     let newest = 0;
     for (const order of harness.orders) {
-      if (order.endpoint !== engine || !order.obeyed) continue;
+      if (order.endpoint !== engine || !order.applied) continue;
       assert.ok(order.number >= newest, `${engine} obeyed order ${order.number} after ${newest}`);
       newest = order.number;
     }
@@ -182,7 +182,7 @@
 
 function captureOrderWrite(harness: coreHarness.CoreHarness, holder: core.Core): core.Transaction {
   const records = harness.store.range(core.constants.CONTROL_PREFIX, core.prefixEnd(core.constants.CONTROL_PREFIX));
-  const instant = { now: harness.now, wall: 0 };
+  const instant = { now: harness.now, systemTime: 0 };
   const type = core.EventType.ControlSnapshot;
   const actions = [
     ...holder.handle({ type, records, revision: harness.store.revision }, instant),
--- a/packages/daemon/src/adminServer.ts
+++ b/packages/daemon/src/adminServer.ts
@@ -54,7 +54,7 @@
       refuses: decisions.refusal(now)?.kind ?? null,
       peers: decisions.roster.peers().length,
       livePeers: decisions.roster.livePeers(now).length,
-      requests: decisions.requestDesk.size,
+      requests: decisions.requestManager.size,
       leases: decisions.shards.all(),
       waitingChanges: Object.fromEntries(decisions.orderDesk.waiting()),
     };
@@ -199,5 +199,8 @@
 function refuse(context: hono.Context, problem: common.Problem): Response {
   const headers = { "content-type": "application/problem+json", ...callerExchange.problemHeaders(problem) };
   context.header("content-type", headers["content-type"]);
-  return new Response(JSON.stringify(callerExchange.problemDocument(problem)), { status: problem.status, headers });
+  return new Response(JSON.stringify(callerExchange.problemDocument(problem)), {
+    status: problem.status,
+    headers,
+  });
 }
--- a/packages/daemon/src/callerServer.ts
+++ b/packages/daemon/src/callerServer.ts
@@ -68,7 +68,14 @@
     if (body.isErr()) return this.#refuse(context, body.error, id);
     const { team } = caller.value;
     const { path, method } = context.req;
-    const parsed = parse({ id, team, method, path, headers: incoming.headers, body: body.value });
+    const parsed = parse({
+      id,
+      team,
+      method,
+      path,
+      headers: incoming.headers,
+      body: body.value,
+    });
     if (parsed.isErr()) return this.#refuse(context, parsed.error, id);
     const arrivedAt = this.#daemon.clock.now();
     const isLeaving = (): boolean => this.#daemon.core.registration.leaving;
@@ -97,7 +104,12 @@
     }
     const outgoing = context.env.outgoing as http.ServerResponse;
     void this.#daemon.duringResume(endpointId, () =>
-      this.#readOn(outgoing, { endpointId, attempt, from: Number(index) + 1, url: endpoint.settings.url }),
+      this.#readOn(outgoing, {
+        endpointId,
+        attempt,
+        from: Number(index) + 1,
+        url: endpoint.settings.url,
+      }),
     );
     return sent.RESPONSE_ALREADY_SENT;
   }
@@ -113,7 +125,7 @@
     const assembly = new core.StreamAssembly();
     const onPiece = (piece: endpoints.StreamChunk): boolean => {
       if (!outgoing.headersSent) outgoing.writeHead(200, { "content-type": "text/event-stream" });
-      const step = assembly.onPiece(piece.index - stream.from, piece.content);
+      const step = assembly.onChunk(piece.index - stream.from, piece.content);
       if (step !== core.StreamStep.Forward) return step === core.StreamStep.Skip;
       outgoing.write(`id: ${stream.endpointId}/${stream.attempt}/${piece.index}\ndata: ${piece.data}\n\n`);
       return true;
@@ -187,7 +199,7 @@
     const { core: decisions } = this.#daemon;
     return this.#daemon.metrics.text({
       open_exchanges: this.#daemon.openExchanges,
-      live_requests: decisions.requestDesk.size,
+      live_requests: decisions.requestManager.size,
       applied_revision: decisions.appliedRevision,
       resident_bytes: process.memoryUsage.rss(),
       processor_microseconds: process.cpuUsage().user + process.cpuUsage().system,
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -129,7 +129,7 @@
    */
   handle(event: core.CoreEvent): void {
     const before = this.clock.now();
-    const actions = this.core.handle(event, { now: before, wall: this.clock.systemTime() });
+    const actions = this.core.handle(event, { now: before, systemTime: this.clock.systemTime() });
     this.metrics.record(metrics.Duration.Handle, (this.clock.now() - before) * 1000);
     for (const action of actions) this.#carryOut(action);
     this.#wakeForClaims();
@@ -150,7 +150,7 @@
   /** @param request - whose caller has closed its connection */
   onCallerGone(request: string): void {
     this.#exchanges.delete(request);
-    this.handle({ type: core.EventType.CallerGone, request });
+    this.handle({ type: core.EventType.CallerDisconnected, request });
   }
 
   /**
@@ -217,7 +217,7 @@
   async drain(): Promise<void> {
     this.handle({ type: core.EventType.StopAsked });
     const leastUntil = this.clock.now() + core.constants.ADDRESS_TTL_MS + core.constants.EXCHANGE_MS;
-    while (this.clock.now() < leastUntil || this.openExchanges > 0 || this.core.requestDesk.size > 0) {
+    while (this.clock.now() < leastUntil || this.openExchanges > 0 || this.core.requestManager.size > 0) {
       await new Promise((resolve) => setTimeout(resolve, STOP_POLL_MS));
     }
   }
@@ -226,7 +226,7 @@
   async close(): Promise<void> {
     for (const timer of this.#timers) clearInterval(timer);
     clearTimeout(this.#claimTimer);
-    const farewell = this.core.markStopped({ now: this.clock.now(), wall: this.clock.systemTime() });
+    const farewell = this.core.markStopped({ now: this.clock.now(), systemTime: this.clock.systemTime() });
     for (const action of farewell) {
       if (action.type === core.ActionType.Transact) await this.keyValue.write(action.transaction, this.core.leaseId);
     }
@@ -291,7 +291,12 @@
     if (exchange) void this.dispatcher.dispatch(action, exchange).then(() => this.#forgetEnded(action.request));
     else {
       const { request, attempt } = action;
-      this.handle({ type: core.EventType.AttemptFailed, request, attempt, reach: core.Reach.NeverSent });
+      this.handle({
+        type: core.EventType.AttemptFailed,
+        request,
+        attempt,
+        delivery: core.DeliveryStatus.NeverSent,
+      });
     }
   }
 
@@ -312,7 +317,7 @@
 
   async #sendOrder(action: core.SendOrderAction): Promise<void> {
     const { endpoint, url, shard, epoch, number, role } = action;
-    const mayStillSend = (): boolean => this.core.mayOrder(shard, epoch, this.clock.now());
+    const mayStillSend = (): boolean => this.core.maySendOrder(shard, epoch, this.clock.now());
     const reply = await this.#orders.send({ url, number, epoch, role }, mayStillSend);
     const outcomes: Record<endpoints.OrderResult, core.OrderOutcome> = {
       [endpoints.OrderResult.Confirmed]: core.OrderOutcome.Confirmed,
@@ -335,7 +340,12 @@
     if (text === undefined) return;
     const load = endpoints.parseLoad(text);
     const role = Object.values(core.EndpointRole).find((candidate) => candidate.valueOf() === load.role);
-    const report = { endpoint: endpoint.id, running: load.running, waiting: load.waiting, ...(role ? { role } : {}) };
+    const report = {
+      endpoint: endpoint.id,
+      running: load.running,
+      waiting: load.waiting,
+      ...(role ? { role } : {}),
+    };
     this.handle({ type: core.EventType.LoadReported, report });
   }
 
--- a/packages/daemon/src/dispatcher.ts
+++ b/packages/daemon/src/dispatcher.ts
@@ -81,22 +81,28 @@
     const { timeoutMs } = action;
     const passed = { ...headers, "x-request-id": action.attempt };
     const reply = await client.call(
-      { path, method: method as platform.CallOptions["method"], headers: passed, body, timeoutMs },
+      {
+        path,
+        method: method as platform.CallOptions["method"],
+        headers: passed,
+        body,
+        timeoutMs,
+      },
       signal,
     );
     if (reply.isErr()) {
       const neverSent = reply.error.delivery === platform.DeliveryStatus.NeverSent;
-      this.#failed(action, neverSent ? core.Reach.NeverSent : core.Reach.MayHaveRun);
+      this.#failed(action, neverSent ? core.DeliveryStatus.NeverSent : core.DeliveryStatus.MayHaveRun);
       return;
     }
     const { status, headers: received, body: answer } = reply.value;
     if (NOT_RUN_STATUSES.has(status) && received["x-outcome"] === "not-run") {
-      this.#failed(action, core.Reach.NotRun);
+      this.#failed(action, core.DeliveryStatus.NotRun);
       return;
     }
     // The nonce tells an answer to this call from one to an earlier call on the same connection.
     if (received["x-request-id"] !== action.attempt) {
-      this.#failed(action, core.Reach.MayHaveRun);
+      this.#failed(action, core.DeliveryStatus.MayHaveRun);
       return;
     }
     const contentType = received["content-type"];
@@ -168,12 +174,23 @@
     this.#metrics.record(metrics.Duration.Request, this.#clock.now() - exchange.arrivedAt);
     const kept = exchange.request.description.key === undefined ? undefined : answer;
     const { request, attempt } = action;
-    this.#sink({ type: core.EventType.AnswerDone, request, attempt, outputTokens, ...(kept ? { answer: kept } : {}) });
+    this.#sink({
+      type: core.EventType.AnswerDone,
+      request,
+      attempt,
+      outputTokens,
+      ...(kept ? { answer: kept } : {}),
+    });
   }
 
-  #failed(action: core.DispatchAction, reach: core.Reach): void {
+  #failed(action: core.DispatchAction, reach: core.DeliveryStatus): void {
     this.#metrics.count(`attempts_failed_${reach.replaceAll("-", "_")}_total`);
-    this.#sink({ type: core.EventType.AttemptFailed, request: action.request, attempt: action.attempt, reach });
+    this.#sink({
+      type: core.EventType.AttemptFailed,
+      request: action.request,
+      attempt: action.attempt,
+      delivery: reach,
+    });
   }
 }
 
@@ -190,7 +207,7 @@
   }
 
   readonly read = (piece: endpoints.StreamChunk): boolean => {
-    const step = this.#assembly.onPiece(piece.index, piece.content);
+    const step = this.#assembly.onChunk(piece.index, piece.content);
     if (step === core.StreamStep.Forward) this.#forward(piece);
     this.wantsResume = step === core.StreamStep.Resume;
     return step === core.StreamStep.Forward || step === core.StreamStep.Skip;
@@ -208,7 +225,7 @@
   return { path, attempt: action.attempt, body };
 }
 
-function reachOf(end: endpoints.StreamEnd): core.Reach {
-  if (end === endpoints.StreamEnd.NeverSent) return core.Reach.NeverSent;
-  return end === endpoints.StreamEnd.Refused ? core.Reach.NotRun : core.Reach.MayHaveRun;
+function reachOf(end: endpoints.StreamEnd): core.DeliveryStatus {
+  if (end === endpoints.StreamEnd.NeverSent) return core.DeliveryStatus.NeverSent;
+  return end === endpoints.StreamEnd.Refused ? core.DeliveryStatus.NotRun : core.DeliveryStatus.MayHaveRun;
 }
--- a/packages/daemon/src/keyValueShell.ts
+++ b/packages/daemon/src/keyValueShell.ts
@@ -85,7 +85,11 @@
     }
     const reply = await this.#client.transact({
       conditions: transaction.conditions,
-      puts: transaction.puts.map(({ key, value, leased }) => ({ key, value, ...(leased && lease ? { lease } : {}) })),
+      puts: transaction.puts.map(({ key, value, leased }) => ({
+        key,
+        value,
+        ...(leased && lease ? { lease } : {}),
+      })),
       deletes: transaction.deletes ?? [],
     });
     if (reply.isErr()) {
@@ -156,7 +160,7 @@
       this.#sink({ type: core.EventType.ControlChanges, records: reply.entries, completeRevision: reply.revision });
     }
     seen.revision = Math.max(seen.revision, reply.revision);
-    this.#sink({ type: core.EventType.KeyValueHeard, revision: reply.revision });
+    this.#sink({ type: core.EventType.KeyValueResponded, revision: reply.revision });
   }
 
   #renewed(lease: string, sentAt: number, ttlMs: number): void {
--- a/packages/measure/src/coreRouter.ts
+++ b/packages/measure/src/coreRouter.ts
@@ -139,7 +139,7 @@
 
   #handle(target: core.Core, event: core.CoreEvent): void {
     const before = performance.now();
-    const actions = target.handle(event, { now: this.#fleet.now, wall: WALL_START + this.#fleet.now });
+    const actions = target.handle(event, { now: this.#fleet.now, systemTime: WALL_START + this.#fleet.now });
     this.#outcome.decisionMicroseconds += (performance.now() - before) * 1000;
     if (event.type === core.EventType.RequestArrived) this.#outcome.decisions++;
     for (const action of actions) this.#carryOut(target, action);
@@ -189,7 +189,12 @@
         this.#handle(target, { type: core.EventType.AnswerDone, request, attempt, outputTokens });
       },
       onRefused: () => {
-        this.#handle(target, { type: core.EventType.AttemptFailed, request, attempt, reach: core.Reach.NotRun });
+        this.#handle(target, {
+          type: core.EventType.AttemptFailed,
+          request,
+          attempt,
+          delivery: core.DeliveryStatus.NotRun,
+        });
       },
     });
   }
@@ -282,9 +287,9 @@
       const told = this.#options.exchanges
         ? report
         : { ...report, shares: report.shares.map(withoutUse), services: report.services.map(withoutWaiting) };
-      this.#handle(other, { type: core.EventType.PeerHeard, report: told });
+      this.#handle(other, { type: core.EventType.PeerReported, report: told });
     }
-    if (!this.#keyValueDown) this.#handle(target, { type: core.EventType.KeyValueHeard, revision: 0 });
+    if (!this.#keyValueDown) this.#handle(target, { type: core.EventType.KeyValueResponded, revision: 0 });
     for (let engine = 0; engine < this.#fleet.size; engine++) this.#report(target, engine);
   }
 
