--- a/packages/cli/src/adminClient.ts
+++ b/packages/cli/src/adminClient.ts
@@ -1,24 +1,24 @@
 import * as neverthrow from "neverthrow";
 import * as undici from "undici";
 
-/** A problem as a daemon told it, or as the tool found it. */
-export interface ToolProblem {
+/** An error that a daemon returned or that the command-line tool detected. */
+export interface CliProblem {
   readonly title: string;
   readonly detail: string;
   readonly remedy: string;
   readonly outcome?: string;
 }
 
-const TIMEOUT_MS = 10_000;
+const HEADERS_TIMEOUT_MS = 10_000;
 
-/** A client of the administration API. */
+/** HTTP client of a daemon's administration API. */
 export class AdminClient {
   readonly #url: string;
   readonly #token: string;
 
   /**
-   * @param url - any daemon's administration address
-   * @param token - the team's or the platform operator's token
+   * @param url - administration URL of any daemon
+   * @param token - bearer token of the team or the platform operator
    */
   constructor(url: string, token: string) {
     this.#url = url;
@@ -26,19 +26,23 @@
   }
 
   /**
-   * @param path - of the API
-   * @returns what the daemon answers
+   * Sends a GET request to the daemon.
+   *
+   * @param path - path in the API
+   * @returns the parsed JSON reply, or the problem
    */
-  get<Value>(path: string): Promise<neverthrow.Result<Value, ToolProblem>> {
+  get<Value>(path: string): Promise<neverthrow.Result<Value, CliProblem>> {
     return this.#call<Value>("GET", path);
   }
 
   /**
-   * @param path - of the API
-   * @param body - to be sent as JSON
-   * @returns what the daemon answers
+   * Sends a PUT request to the daemon.
+   *
+   * @param path - path in the API
+   * @param body - value that is sent as JSON
+   * @returns the parsed JSON reply, or the problem
    */
-  put<Value>(path: string, body: object): Promise<neverthrow.Result<Value, ToolProblem>> {
+  put<Value>(path: string, body: object): Promise<neverthrow.Result<Value, CliProblem>> {
     return this.#call<Value>("PUT", path, JSON.stringify(body));
   }
 
@@ -46,21 +50,21 @@
     method: "GET" | "PUT",
     path: string,
     body?: string,
-  ): Promise<neverthrow.Result<Value, ToolProblem>> {
+  ): Promise<neverthrow.Result<Value, CliProblem>> {
     try {
       const reply = await undici.request(new URL(path, this.#url), {
         method,
         headers: { authorization: `Bearer ${this.#token}`, "content-type": "application/json" },
         body: body ?? null,
-        headersTimeout: TIMEOUT_MS,
+        headersTimeout: HEADERS_TIMEOUT_MS,
       });
       const value = await reply.body.json();
-      return reply.statusCode < 400 ? neverthrow.ok(value as Value) : neverthrow.err(value as ToolProblem);
+      return reply.statusCode < 400 ? neverthrow.ok(value as Value) : neverthrow.err(value as CliProblem);
     } catch (error) {
       return neverthrow.err({
         title: "unreachable",
         detail: `${this.#url}: ${error instanceof Error ? error.message : String(error)}`,
-        remedy: "check --admin (CAMPHORCOURSE_ADMIN), or name another daemon",
+        remedy: "check --admin (CAMPHORCOURSE_ADMIN), or use another daemon",
       });
     }
   }
--- a/packages/cli/src/configCommands.ts
+++ b/packages/cli/src/configCommands.ts
@@ -6,41 +6,45 @@
 import * as adminCommand from "./adminCommand.js";
 import type * as teamDocuments from "./teamDocuments.js";
 
-const POLL_MS = 100;
+const POLL_INTERVAL_MS = 100;
 
 interface InForceReply {
   readonly inForce: string[];
   readonly pending: string[];
 }
 
-/** What the commands on one team's document share. */
+/** Base class of the commands that read or change one team's configuration document. */
 export abstract class TeamCommand extends adminCommand.AdminCommand {
   team = clipanion.Option.String("--team", "", {
     env: "CAMPHORCOURSE_TEAM",
-    description: "the team [CAMPHORCOURSE_TEAM]",
+    description: "name of the team [CAMPHORCOURSE_TEAM]",
   });
   author = clipanion.Option.String("--author", os.userInfo().username, {
     env: "CAMPHORCOURSE_AUTHOR",
-    description: "who makes the change [CAMPHORCOURSE_AUTHOR]",
+    description: "author of the change [CAMPHORCOURSE_AUTHOR]",
+  });
+  wait = clipanion.Option.Boolean("--wait", false, {
+    description: "wait until the change is in force on all daemons",
   });
-  wait = clipanion.Option.Boolean("--wait", false, { description: "wait until the change is in force everywhere" });
   waitMs = clipanion.Option.String("--wait-ms", "10000", {
     validator: typanion.isNumber(),
-    description: "longest wait in milliseconds",
+    description: "maximum time to wait in milliseconds",
   });
 
   /** {@inheritDoc clipanion.Command.validateAndExecute} */
   override async validateAndExecute(): Promise<number> {
     if (this.team !== "") return super.validateAndExecute();
-    const remedy = "name the team by --team or CAMPHORCOURSE_TEAM";
+    const remedy = "set the team with --team or CAMPHORCOURSE_TEAM";
     return this.fail({ title: "invalid-setting", detail: "--team is missing", remedy });
   }
 
   /**
-   * @param accepted - a change that was accepted
+   * Prints an accepted change and, with `--wait`, waits until it is in force on all daemons.
+   *
+   * @param accepted - the accepted change
    * @returns the exit code
    */
-  protected async finish(accepted: teamDocuments.AcceptedReply): Promise<adminCommand.ExitCode> {
+  protected async reportAccepted(accepted: teamDocuments.AcceptedReply): Promise<adminCommand.ExitCode> {
     const { version, revision } = accepted;
     if (this.json) this.context.stdout.write(`${JSON.stringify(accepted)}\n`);
     else this.context.stdout.write(`accepted version=${version} revision=${revision}\n`);
@@ -48,7 +52,7 @@
   }
 
   async #waitInForce(revision: number): Promise<adminCommand.ExitCode> {
-    const until = Date.now() + this.waitMs;
+    const deadline = Date.now() + this.waitMs;
     for (;;) {
       const reply = await this.client().get<InForceReply>(`/admin/in-force/${revision}`);
       if (reply.isErr()) return this.fail(reply.error);
@@ -58,16 +62,16 @@
         `in force on ${inForce.length} of ${total} daemons${pending.length > 0 ? `, not yet: ${pending.join(" ")}` : ""}\n`,
       );
       if (pending.length === 0) return adminCommand.ExitCode.Done;
-      if (Date.now() > until) return adminCommand.ExitCode.NotYetInForce;
-      await new Promise((resolve) => setTimeout(resolve, POLL_MS));
+      if (Date.now() > deadline) return adminCommand.ExitCode.NotYetInForce;
+      await new Promise((resolve) => setTimeout(resolve, POLL_INTERVAL_MS));
     }
   }
 }
 
-/** Prints a team's document. */
+/** Prints a team's configuration document. */
 export class ConfigGetCommand extends TeamCommand {
   static override paths = [["config", "get"]];
-  static override usage = clipanion.Command.Usage({ description: "print a team's document" });
+  static override usage = clipanion.Command.Usage({ description: "print a team's configuration document" });
 
   async execute(): Promise<adminCommand.ExitCode> {
     const reply = await this.client().get<teamDocuments.TeamDocumentReply>(`/admin/teams/${this.team}`);
@@ -78,37 +82,39 @@
   }
 }
 
-/** Puts a team's document in force. */
+/** Replaces a team's configuration document by a file. */
 export class ConfigApplyCommand extends TeamCommand {
   static override paths = [["config", "apply"]];
   static override usage = clipanion.Command.Usage({
-    description: "put a team's document in force",
-    details: "The change is refused if the document was changed since --base-version; without it, since now.",
+    description: "replace a team's configuration document by a file",
+    details: "The change is refused if the document was changed after --base-version, by default the current version.",
   });
   baseVersion = clipanion.Option.String("--base-version", {
     validator: typanion.isNumber(),
-    description: "version that the change is based on",
+    description: "document version that the change is based on",
   });
   file = clipanion.Option.String({ name: "file" });
 
   async execute(): Promise<adminCommand.ExitCode> {
     const text = await fs.readFile(this.file, "utf8");
-    const expectedVersion = this.baseVersion ?? (await this.#presentVersion());
+    const expectedVersion = this.baseVersion ?? (await this.#currentVersion());
     const body = { text, expectedVersion, author: this.author };
     const written = await this.client().put<teamDocuments.AcceptedReply>(`/admin/teams/${this.team}`, body);
-    return written.isErr() ? this.fail(written.error) : this.finish(written.value);
+    return written.isErr() ? this.fail(written.error) : this.reportAccepted(written.value);
   }
 
-  async #presentVersion(): Promise<number> {
+  async #currentVersion(): Promise<number> {
     const reply = await this.client().get<teamDocuments.TeamDocumentReply>(`/admin/teams/${this.team}`);
     return reply.isOk() ? reply.value.version : 0;
   }
 }
 
-/** Shows what a document would change. */
+/** Shows the difference between a team's current document and a file. */
 export class ConfigDiffCommand extends TeamCommand {
   static override paths = [["config", "diff"]];
-  static override usage = clipanion.Command.Usage({ description: "show what a document would change" });
+  static override usage = clipanion.Command.Usage({
+    description: "show the difference between a team's current document and a file",
+  });
   file = clipanion.Option.String({ name: "file" });
 
   async execute(): Promise<adminCommand.ExitCode> {
@@ -123,10 +129,12 @@
   }
 }
 
-/** Lists the former versions of a team's document. */
+/** Lists the versions of a team's configuration document. */
 export class ConfigHistoryCommand extends TeamCommand {
   static override paths = [["config", "history"]];
-  static override usage = clipanion.Command.Usage({ description: "list the versions of a team's document" });
+  static override usage = clipanion.Command.Usage({
+    description: "list the versions of a team's configuration document",
+  });
 
   async execute(): Promise<adminCommand.ExitCode> {
     const reply = await this.client().get<{ version: number; author: string; acceptedAt: number; text: string }[]>(
--- a/packages/cli/src/endpointCommands.ts
+++ b/packages/cli/src/endpointCommands.ts
@@ -5,7 +5,7 @@
 import type * as output from "./output.js";
 import * as teamDocuments from "./teamDocuments.js";
 
-/** Lists the endpoints. */
+/** Lists the endpoints with their roles, states and pending changes. */
 export class EndpointListCommand extends adminCommand.AdminCommand {
   static override paths = [["endpoint", "list"]];
   static override usage = clipanion.Command.Usage({
@@ -17,6 +17,7 @@
   }
 }
 
+/** Base class of the commands that change one endpoint in a team's document. */
 abstract class EndpointEditCommand extends configCommands.TeamCommand {
   endpoint = clipanion.Option.String({ name: "endpoint" });
 
@@ -24,21 +25,21 @@
 
   async execute(): Promise<adminCommand.ExitCode> {
     const written = await teamDocuments.editDocument(this.client(), this.team, this.author, (document) => {
-      const fault = teamDocuments.missingEndpoint(document, this.endpoint);
-      if (fault === undefined) this.edit(document);
-      return fault;
+      const problem = teamDocuments.describeMissingEndpoint(document, this.endpoint);
+      if (problem === undefined) this.edit(document);
+      return problem;
     });
-    return written.isErr() ? this.fail(written.error) : this.finish(written.value);
+    return written.isErr() ? this.fail(written.error) : this.reportAccepted(written.value);
   }
 }
 
-/** Keeps new work from an endpoint and lets what runs finish. */
+/** Drains an endpoint: it gets no new requests, and running requests finish. */
 export class EndpointDrainCommand extends EndpointEditCommand {
   static override paths = [["endpoint", "drain"]];
   static override usage = clipanion.Command.Usage({
-    description: "give an endpoint no new work; --undo takes it back",
+    description: "drain an endpoint: send it no new requests; --undo makes it active again",
   });
-  undo = clipanion.Option.Boolean("--undo", false, { description: "let the endpoint take work again" });
+  undo = clipanion.Option.Boolean("--undo", false, { description: "make the endpoint active again" });
 
   protected edit(document: yaml.Document): void {
     document.setIn(["endpoints", this.endpoint, "state"], this.undo ? "active" : "draining");
@@ -48,7 +49,9 @@
 /** Sets an endpoint's role. */
 export class EndpointRoleCommand extends EndpointEditCommand {
   static override paths = [["endpoint", "role"]];
-  static override usage = clipanion.Command.Usage({ description: "set a role: prefill, decode, mixed or auto" });
+  static override usage = clipanion.Command.Usage({
+    description: "set the role of an endpoint: prefill, decode, mixed or auto",
+  });
   role = clipanion.Option.String({ name: "role" });
 
   protected edit(document: yaml.Document): void {
@@ -56,11 +59,11 @@
   }
 }
 
-/** Adds an endpoint in another's place and drains the old one. */
+/** Replaces an endpoint: adds a new one with the old one's settings and drains the old one. */
 export class EndpointReplaceCommand extends EndpointEditCommand {
   static override paths = [["endpoint", "replace"]];
   static override usage = clipanion.Command.Usage({
-    description: "add an endpoint with the settings of an old one, and drain the old one",
+    description: "add a new endpoint with the settings of an old one, and drain the old one",
   });
   name = clipanion.Option.String("--name", { required: true, description: "name of the new endpoint" });
   url = clipanion.Option.String("--url", { required: true, description: "address of the new endpoint" });
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,4 +1,4 @@
-/** The command-line tool; `main.ts` is its program. */
+/** Library part of the command-line tool; the executable is `main.ts`. */
 export * from "./adminClient.js";
 export * from "./output.js";
 export * from "./teamDocuments.js";
--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -1,9 +1,10 @@
 import * as tableModule from "cli-table3";
 import type * as adminClient from "./adminClient.js";
 
-/** Rows of a table: names and values. */
+/** A table row: values by column name. */
 export type Row = Readonly<Record<string, unknown>>;
 
+/** Draws no borders; columns are separated by two spaces. */
 const PLAIN_BORDERS = {
   top: "",
   "top-mid": "",
@@ -23,8 +24,10 @@
 };
 
 /**
- * @param rows - all with the same names
- * @returns a table for people
+ * Formats rows as a plain-text table.
+ *
+ * @param rows - rows that all have the same columns
+ * @returns the table with a header line
  */
 export function formatTable(rows: readonly Row[]): string {
   const [first] = rows;
@@ -35,21 +38,23 @@
     chars: PLAIN_BORDERS,
     style: { head: [], "padding-left": 0, "padding-right": 0 },
   });
-  for (const row of rows) table.push(head.map((name) => textOf(row[name])));
+  for (const row of rows) table.push(head.map((name) => formatCell(row[name])));
   const lines = table.toString().split("\n");
   return `${lines.map((line) => line.trimEnd()).join("\n")}\n`;
 }
 
 /**
- * @param problem - what went wrong
- * @returns lines for people
+ * Formats a problem as plain-text lines.
+ *
+ * @param problem - the problem to print
+ * @returns its title, detail, outcome if known, and remedy
  */
-export function formatProblem(problem: adminClient.ToolProblem): string {
+export function formatProblem(problem: adminClient.CliProblem): string {
   const outcome = problem.outcome === undefined ? "" : `outcome: ${problem.outcome}\n`;
   return `${problem.title}: ${problem.detail}\n${outcome}remedy: ${problem.remedy}\n`;
 }
 
-function textOf(value: unknown): string {
+function formatCell(value: unknown): string {
   if (value === null || value === undefined) return "";
   return typeof value === "object" ? JSON.stringify(value) : String(value as string | number | boolean);
 }
--- a/packages/cli/src/viewCommands.ts
+++ b/packages/cli/src/viewCommands.ts
@@ -3,7 +3,7 @@
 import * as adminCommand from "./adminCommand.js";
 import type * as output from "./output.js";
 
-const FOLLOW_MS = 500;
+const FOLLOW_INTERVAL_MS = 500;
 
 interface TimelineReply {
   readonly events: {
@@ -16,10 +16,10 @@
   readonly silent: string[];
 }
 
-/** Shows one daemon's state. */
+/** Shows the state of one daemon. */
 export class StatusCommand extends adminCommand.AdminCommand {
   static override paths = [["status"]];
-  static override usage = clipanion.Command.Usage({ description: "show a daemon's state, leases and waiting changes" });
+  static override usage = clipanion.Command.Usage({ description: "show a daemon's state, leases and pending changes" });
 
   async execute(): Promise<adminCommand.ExitCode> {
     const reply = await this.client().get<output.Row>("/admin/status");
@@ -27,7 +27,7 @@
   }
 }
 
-/** Lists the daemons' VMs. */
+/** Lists the VMs that daemons run on. */
 export class VmListCommand extends adminCommand.AdminCommand {
   static override paths = [["vm", "list"]];
   static override usage = clipanion.Command.Usage({ description: "list the VMs that daemons run on" });
@@ -37,7 +37,7 @@
   }
 }
 
-/** Lists the services. */
+/** Lists the services with their settings and queues. */
 export class ServiceCommand extends adminCommand.AdminCommand {
   static override paths = [["service"], ["service", "list"]];
   static override usage = clipanion.Command.Usage({ description: "list services with their settings and queues" });
@@ -58,13 +58,15 @@
   }
 }
 
-/** Prints the events of all daemons in causal order. */
+/** Prints the events of all daemons in causal order (by hybrid timestamp). */
 export class TimelineCommand extends adminCommand.AdminCommand {
   static override paths = [["timeline"]];
-  static override usage = clipanion.Command.Usage({ description: "print the events of all daemons, one a line" });
-  request = clipanion.Option.String("--request", "", { description: "only this request" });
-  endpoint = clipanion.Option.String("--endpoint", "", { description: "only this endpoint (team/endpoint)" });
-  follow = clipanion.Option.Boolean("--follow", false, { description: "go on printing" });
+  static override usage = clipanion.Command.Usage({ description: "print the events of all daemons, one per line" });
+  request = clipanion.Option.String("--request", "", { description: "show only events of this request" });
+  endpoint = clipanion.Option.String("--endpoint", "", {
+    description: "show only events of this endpoint (team/endpoint)",
+  });
+  follow = clipanion.Option.Boolean("--follow", false, { description: "keep printing new events" });
 
   async execute(): Promise<adminCommand.ExitCode> {
     const seen = new Set<string>();
@@ -76,7 +78,7 @@
       this.#print(reply.value, seen);
       if (!this.follow) return adminCommand.ExitCode.Done;
       since = Math.max(since, ...reply.value.events.map((event) => event.stamp.wallMs - 1));
-      await new Promise((resolve) => setTimeout(resolve, FOLLOW_MS));
+      await new Promise((resolve) => setTimeout(resolve, FOLLOW_INTERVAL_MS));
     }
   }
 
@@ -89,6 +91,6 @@
       const line = common.formatFields({ time, vm: event.vm, event: event.kind, ...event.fields });
       this.context.stdout.write(this.json ? `${JSON.stringify(event)}\n` : `${line}\n`);
     }
-    if (reply.silent.length > 0) this.context.stderr.write(`no answer from: ${reply.silent.join(" ")}\n`);
+    if (reply.silent.length > 0) this.context.stderr.write(`no response from: ${reply.silent.join(" ")}\n`);
   }
 }
