--- a/packages/measure/src/baselines.ts
+++ b/packages/measure/src/baselines.ts
@@ -4,76 +4,91 @@
 import type * as outcomeModule from "./outcome.js";
 import * as traceModule from "./trace.js";
 
-/** How a simple router picks among engines that serve a part. */
-export enum Pick {
+/** How a baseline router selects among the engines that serve a part of a request. */
+export enum SelectionStrategy {
   RoundRobin = "round-robin",
   LeastConnections = "least-connections",
 }
 
-const FOLLOW_MS = 10_000;
-const FOLLOWED_MINUTE_MS = 60_000;
-/** Engines by which the wanted split must differ before the follower acts. */
-const FOLLOW_THRESHOLD = 0.6;
+const ROLE_ADJUSTMENT_INTERVAL_MS = 10_000;
+const DEMAND_WINDOW_MS = 60_000;
+/** Least difference, in engines, between the wanted and the current prefill share for a role change. */
+const MIN_ROLE_DEVIATION = 0.6;
 
-/** Routers to beat: no admission, no deadlines, and roles that stay or follow the last minute's ratio. */
-export class SimpleRouter {
+/**
+ * Baseline for comparison with the core's policy: a router without admission
+ * control or deadlines, whose roles are fixed or follow the ratio of prefill to
+ * decode work in the last minute.
+ */
+export class BaselineRouter {
   readonly #fleet: engineFleet.EngineFleet;
   readonly #outcome: outcomeModule.Outcome;
-  readonly #pick: Pick;
+  readonly #strategy: SelectionStrategy;
   readonly #connections: number[];
   readonly #draining = new Set<number>();
   readonly #withdrawn = new Set<number>();
-  readonly #recent: { at: number; prefillMs: number; decodeMs: number }[] = [];
-  #turn = 0;
+  readonly #recentDemand: { at: number; prefillMs: number; decodeMs: number }[] = [];
+  #nextIndex = 0;
 
   /**
-   * @param fleet - the engines
-   * @param outcome - takes the results
-   * @param pick - how to choose
-   * @param followsRatio - whether roles follow the last minute's ratio
+   * @param fleet - the simulated engines
+   * @param outcome - where the results are recorded
+   * @param strategy - how engines are selected
+   * @param adjustsRoles - whether roles follow the last minute's ratio of prefill to decode work
    */
-  constructor(fleet: engineFleet.EngineFleet, outcome: outcomeModule.Outcome, pick: Pick, followsRatio: boolean) {
+  constructor(
+    fleet: engineFleet.EngineFleet,
+    outcome: outcomeModule.Outcome,
+    strategy: SelectionStrategy,
+    adjustsRoles: boolean,
+  ) {
     this.#fleet = fleet;
     this.#outcome = outcome;
-    this.#pick = pick;
+    this.#strategy = strategy;
     this.#connections = Array.from({ length: fleet.size }, () => 0);
-    if (followsRatio) this.#followLater();
+    if (adjustsRoles) this.#scheduleRoleAdjustment();
   }
 
   /**
+   * Withdraws an engine from new requests, or returns it to service.
+   *
    * @param engine - index of the engine
-   * @param withdrawn - whether it takes no work
+   * @param withdrawn - whether the engine gets no new requests
    */
   setWithdrawn(engine: number, withdrawn: boolean): void {
     if (withdrawn) this.#withdrawn.add(engine);
     else this.#withdrawn.delete(engine);
   }
 
-  /** @param request - arrives now */
+  /**
+   * Routes a request that arrives now.
+   *
+   * @param request - the request
+   */
   onRequest(request: traceModule.TraceRequest): void {
     this.#outcome.requests++;
     const demand = core.demandOf(core.PRIOR_COSTS, request.promptTokens, request.outputTokens);
-    this.#recent.push({ at: this.#fleet.now, ...demand });
-    this.#begin(request, this.#fleet.now);
+    this.#recentDemand.push({ at: this.#fleet.now, ...demand });
+    this.#startPrefill(request, this.#fleet.now);
   }
 
-  #begin(request: traceModule.TraceRequest, arrivedAt: number): void {
-    const prefill = this.#choose(core.RequestPart.Prefill);
+  #startPrefill(request: traceModule.TraceRequest, arrivedAt: number): void {
+    const prefill = this.#chooseEngine(core.RequestPart.Prefill);
     if (prefill === undefined) {
       this.#outcome.refused++;
-      this.#outcome.onEnded(arrivedAt, false);
+      this.#outcome.recordEnd(arrivedAt, false);
       return;
     }
     this.#run(prefill, request, core.RequestPart.Prefill, arrivedAt, () => {
-      this.#decode(request, arrivedAt);
+      this.#startDecode(request, arrivedAt);
     });
   }
 
-  #decode(request: traceModule.TraceRequest, arrivedAt: number): void {
-    const decode = this.#choose(core.RequestPart.Decode);
+  #startDecode(request: traceModule.TraceRequest, arrivedAt: number): void {
+    const decode = this.#chooseEngine(core.RequestPart.Decode);
     if (decode === undefined) {
-      this.#fleet.after(100, () => {
-        this.#decode(request, arrivedAt);
+      this.#fleet.schedule(100, () => {
+        this.#startDecode(request, arrivedAt);
       });
       return;
     }
@@ -81,7 +96,7 @@
       const inTime = this.#fleet.now - arrivedAt <= request.deadlineMs;
       if (inTime) this.#outcome.inTime++;
       else this.#outcome.late++;
-      this.#outcome.onEnded(arrivedAt, inTime);
+      this.#outcome.recordEnd(arrivedAt, inTime);
     });
   }
 
@@ -97,7 +112,7 @@
     const release = (): void => {
       this.#connections[engine] = (this.#connections[engine] ?? 1) - 1;
     };
-    this.#fleet.submit(engine, jobOf(request, part), {
+    this.#fleet.submit(engine, createJob(request, part), {
       onFirstToken: () => {
         this.#outcome.firstToken.recordValue(Math.max(1, Math.round(this.#fleet.now - arrivedAt)));
       },
@@ -107,56 +122,59 @@
       },
       onRefused: () => {
         release();
-        this.#fleet.after(100, () => {
-          if (part === core.RequestPart.Decode) this.#decode(request, arrivedAt);
-          else this.#begin(request, arrivedAt);
+        this.#fleet.schedule(100, () => {
+          if (part === core.RequestPart.Decode) this.#startDecode(request, arrivedAt);
+          else this.#startPrefill(request, arrivedAt);
         });
       },
     });
   }
 
-  #choose(part: core.RequestPart): number | undefined {
+  #chooseEngine(part: core.RequestPart): number | undefined {
     const wanted = part === core.RequestPart.Prefill ? core.EndpointRole.Prefill : core.EndpointRole.Decode;
-    const open = this.#connections
+    const available = this.#connections
       .map((connections, engine) => ({ connections, engine }))
       .filter(({ engine }) => this.#fleet.roleOf(engine) === wanted)
       .filter(
-        ({ engine }) => !this.#draining.has(engine) && !this.#withdrawn.has(engine) && !this.#fleet.isAway(engine),
+        ({ engine }) =>
+          !this.#draining.has(engine) && !this.#withdrawn.has(engine) && !this.#fleet.isUnavailable(engine),
       );
-    if (this.#pick === Pick.RoundRobin) return open[this.#turn++ % Math.max(1, open.length)]?.engine;
-    return open.sort((left, right) => left.connections - right.connections)[0]?.engine;
+    if (this.#strategy === SelectionStrategy.RoundRobin)
+      return available[this.#nextIndex++ % Math.max(1, available.length)]?.engine;
+    return available.sort((left, right) => left.connections - right.connections)[0]?.engine;
   }
 
-  #followLater(): void {
-    this.#fleet.after(FOLLOW_MS, () => {
-      this.#follow();
-      this.#followLater();
+  #scheduleRoleAdjustment(): void {
+    this.#fleet.schedule(ROLE_ADJUSTMENT_INTERVAL_MS, () => {
+      this.#adjustRoles();
+      this.#scheduleRoleAdjustment();
     });
   }
 
-  /** One engine at a time goes to the side that the last minute's ratio asks for. */
-  #follow(): void {
-    const since = this.#fleet.now - FOLLOWED_MINUTE_MS;
-    while (this.#recent[0] && this.#recent[0].at < since) this.#recent.shift();
-    const prefillMs = this.#recent.reduce((sum, entry) => sum + entry.prefillMs, 0);
-    const decodeMs = this.#recent.reduce((sum, entry) => sum + entry.decodeMs, 0);
+  /** Changes the role of at most one engine at a time towards the last minute's ratio of prefill to decode work. */
+  #adjustRoles(): void {
+    const since = this.#fleet.now - DEMAND_WINDOW_MS;
+    while (this.#recentDemand[0] && this.#recentDemand[0].at < since) this.#recentDemand.shift();
+    const prefillMs = this.#recentDemand.reduce((sum, entry) => sum + entry.prefillMs, 0);
+    const decodeMs = this.#recentDemand.reduce((sum, entry) => sum + entry.decodeMs, 0);
     if (this.#draining.size > 0 || prefillMs + decodeMs === 0) return;
     const engines = Array.from({ length: this.#fleet.size }, (_, engine) => engine);
     const prefills = engines.filter((engine) => this.#fleet.roleOf(engine) === core.EndpointRole.Prefill);
     const decodes = engines.filter((engine) => this.#fleet.roleOf(engine) === core.EndpointRole.Decode);
     const wanted = (this.#fleet.size * prefillMs) / (prefillMs + decodeMs);
     const [candidate] = wanted > prefills.length ? decodes : prefills;
-    const side = wanted > prefills.length ? decodes : prefills;
-    if (Math.abs(wanted - prefills.length) < FOLLOW_THRESHOLD || side.length < 2 || candidate === undefined) return;
+    const shrinkingRole = wanted > prefills.length ? decodes : prefills;
+    if (Math.abs(wanted - prefills.length) < MIN_ROLE_DEVIATION || shrinkingRole.length < 2 || candidate === undefined)
+      return;
     const role = wanted > prefills.length ? core.EndpointRole.Prefill : core.EndpointRole.Decode;
     this.#draining.add(candidate);
-    this.#changeWhenEmpty(candidate, role);
+    this.#changeRoleWhenIdle(candidate, role);
   }
 
-  #changeWhenEmpty(engine: number, role: core.EndpointRole): void {
-    this.#fleet.after(100, () => {
+  #changeRoleWhenIdle(engine: number, role: core.EndpointRole): void {
+    this.#fleet.schedule(100, () => {
       if ((this.#connections[engine] ?? 0) > 0) {
-        this.#changeWhenEmpty(engine, role);
+        this.#changeRoleWhenIdle(engine, role);
         return;
       }
       this.#fleet.changeRole(engine, role);
@@ -166,11 +184,13 @@
 }
 
 /**
+ * Creates the engine job for one part of a request.
+ *
  * @param request - a request of a trace
- * @param part - the part asked for
- * @returns the job at an engine
+ * @param part - the part to run
+ * @returns the job to submit to an engine
  */
-export function jobOf(request: traceModule.TraceRequest, part: core.RequestPart): standIns.EngineJob {
+export function createJob(request: traceModule.TraceRequest, part: core.RequestPart): standIns.EngineJob {
   return {
     id: `${request.id}/${part}`,
     part: engineFleet.toJobPart(part),
@@ -179,6 +199,6 @@
     priority: 0,
     ...(request.prefix === undefined
       ? {}
-      : { prefix: request.prefix, prefixTokens: traceModule.prefixTokensOf(request) }),
+      : { prefix: request.prefix, prefixTokens: traceModule.sharedPrefixTokens(request) }),
   };
 }
--- a/packages/measure/src/coreRouter.ts
+++ b/packages/measure/src/coreRouter.ts
@@ -6,30 +6,32 @@
 import type * as outcomeModule from "./outcome.js";
 import type * as traceModule from "./trace.js";
 
-/** What varies between replays of our policy. */
+/** What differs between replays of the core's policy. */
 export interface CoreRouterOptions {
   readonly daemons: number;
   readonly policy: core.PolicySettings;
   readonly seed: number;
-  /** Whether refused callers come back when they were told to. */
-  readonly comeBack: boolean;
-  /** Whether daemons tell one another what they have at the endpoints. */
-  readonly exchanges: boolean;
+  /** Whether refused callers retry after the delay that the refusal gives them. */
+  readonly retriesRefused: boolean;
+  /** Whether daemons tell their peers the load that they have on the endpoints. */
+  readonly sharesLoad: boolean;
 }
 
-interface Pending {
+interface PendingRequest {
   readonly request: traceModule.TraceRequest;
   readonly arrivedAt: number;
-  readonly comeback: boolean;
+  readonly isRetry: boolean;
 }
 
-const TICK_MS = 100;
-const CALL_MS = 3;
-const REPORT_MS = 1000;
-const WALL_START = 1_700_000_000_000;
+const TICK_INTERVAL_MS = 100;
+/** Latency of calls to the key-value service and of its watch events. */
+const STORE_LATENCY_MS = 3;
+/** Interval of the heartbeats between cores and of the engines' load reports. */
+const HEARTBEAT_INTERVAL_MS = 1000;
+const SYSTEM_TIME_START_MS = 1_700_000_000_000;
 const WARM_UP_MS = 5000;
 
-/** Our policy: one or more cores, handed the trace's events in virtual time. */
+/** Replays a trace through one or more cores (one per daemon) in virtual time, with a simulated key-value service. */
 export class CoreRouter {
   readonly #fleet: engineFleet.EngineFleet;
   readonly #outcome: outcomeModule.Outcome;
@@ -37,17 +39,17 @@
   readonly #options: CoreRouterOptions;
   readonly #store = new standIns.KeyValueStore();
   readonly #cores: core.Core[] = [];
-  readonly #pending = new Map<string, Pending>();
+  readonly #pending = new Map<string, PendingRequest>();
   readonly #withdrawn = new Set<number>();
   #version = 0;
   #keyValueDown = false;
-  #turn = 0;
+  #nextCore = 0;
 
   /**
-   * @param fleet - the engines
-   * @param outcome - takes the results
-   * @param trace - names team, weight and report lag
-   * @param options - what varies
+   * @param fleet - the simulated engines
+   * @param outcome - where the results are recorded
+   * @param trace - gives the team, the weight of role changes and the delay of load reports
+   * @param options - what differs between replays
    */
   constructor(
     fleet: engineFleet.EngineFleet,
@@ -59,47 +61,57 @@
     this.#outcome = outcome;
     this.#trace = trace;
     this.#options = options;
-    for (let index = 0; index < options.daemons; index++) this.#start(index);
-    this.#configure();
+    for (let index = 0; index < options.daemons; index++) this.#startCore(index);
+    this.#writeTeamDocument();
     this.#store.subscribe((events) => {
-      this.#tellWatches(events);
+      this.#notifyWatches(events);
     });
-    this.#every(1000, () => {
+    this.#repeatEvery(1000, () => {
       if (!this.#keyValueDown) this.#store.expireLeases(fleet.now);
     });
     fleet.run(WARM_UP_MS);
   }
 
   /**
+   * Withdraws an engine from new requests, or returns it to service.
+   *
    * @param engine - index of the engine
-   * @param withdrawn - whether it takes no work
+   * @param withdrawn - whether the engine gets no new requests
    */
   setWithdrawn(engine: number, withdrawn: boolean): void {
     if (withdrawn) this.#withdrawn.add(engine);
     else this.#withdrawn.delete(engine);
-    this.#configure();
+    this.#writeTeamDocument();
   }
 
-  /** @param down - whether the key-value service is out of reach */
+  /**
+   * Makes the key-value service unreachable, or reachable again.
+   *
+   * @param down - whether it is unreachable
+   */
   setKeyValueDown(down: boolean): void {
     this.#keyValueDown = down;
-    if (!down) for (const target of this.#cores) this.#readAll(target);
+    if (!down) for (const target of this.#cores) this.#sendSnapshot(target);
   }
 
-  /** @param request - arrives now */
+  /**
+   * Sends a request that arrives now to the next core, in turn.
+   *
+   * @param request - the request
+   */
   onRequest(request: traceModule.TraceRequest): void {
     this.#outcome.requests++;
     this.#send(request, false);
   }
 
-  #send(request: traceModule.TraceRequest, comeback: boolean): void {
-    const target = this.#cores[this.#turn++ % this.#cores.length];
-    if (target) this.#sendTo(target, request, comeback);
+  #send(request: traceModule.TraceRequest, isRetry: boolean): void {
+    const target = this.#cores[this.#nextCore++ % this.#cores.length];
+    if (target) this.#sendTo(target, request, isRetry);
   }
 
-  #sendTo(target: core.Core, request: traceModule.TraceRequest, comeback: boolean): void {
-    const id = comeback ? `${request.id}/again` : request.id;
-    this.#pending.set(id, { request, arrivedAt: this.#fleet.now, comeback });
+  #sendTo(target: core.Core, request: traceModule.TraceRequest, isRetry: boolean): void {
+    const id = isRetry ? `${request.id}/again` : request.id;
+    this.#pending.set(id, { request, arrivedAt: this.#fleet.now, isRetry });
     this.#handle(target, {
       type: core.EventType.RequestArrived,
       request: {
@@ -115,7 +127,7 @@
     });
   }
 
-  #start(index: number): void {
+  #startCore(index: number): void {
     const vm = `vm-${index + 1}`;
     const registration: core.Registration = {
       vm,
@@ -128,24 +140,24 @@
     };
     const target = new core.Core({ registration, seed: this.#options.seed + index, policy: this.#options.policy });
     this.#cores.push(target);
-    this.#readAll(target);
-    this.#every(TICK_MS, () => {
+    this.#sendSnapshot(target);
+    this.#repeatEvery(TICK_INTERVAL_MS, () => {
       this.#handle(target, { type: core.EventType.Tick });
     });
-    this.#every(REPORT_MS, () => {
-      this.#exchange(target);
+    this.#repeatEvery(HEARTBEAT_INTERVAL_MS, () => {
+      this.#sendReports(target);
     });
   }
 
   #handle(target: core.Core, event: core.CoreEvent): void {
     const before = performance.now();
-    const actions = target.handle(event, { now: this.#fleet.now, wall: WALL_START + this.#fleet.now });
+    const actions = target.handle(event, { now: this.#fleet.now, wall: SYSTEM_TIME_START_MS + this.#fleet.now });
     this.#outcome.decisionMicroseconds += (performance.now() - before) * 1000;
     if (event.type === core.EventType.RequestArrived) this.#outcome.decisions++;
-    for (const action of actions) this.#carryOut(target, action);
+    for (const action of actions) this.#execute(target, action);
   }
 
-  #carryOut(target: core.Core, action: core.Action): void {
+  #execute(target: core.Core, action: core.Action): void {
     switch (action.type) {
       case core.ActionType.Dispatch:
         this.#dispatch(target, action);
@@ -154,13 +166,13 @@
         this.#onRefused(target, action.request, action.problem);
         break;
       case core.ActionType.RenewLease:
-        this.#renew(target, action.lease);
+        this.#renewLease(target, action.lease);
         break;
       case core.ActionType.Transact:
-        this.#transact(target, action);
+        this.#scheduleTransaction(target, action);
         break;
       case core.ActionType.SendOrder:
-        this.#order(target, action);
+        this.#executeRoleOrder(target, action);
         break;
       default:
         break;
@@ -172,7 +184,7 @@
     if (!pending) return;
     this.#outcome.attempts++;
     const { request, attempt } = action;
-    const job = { ...baselines.jobOf(pending.request, action.part), id: attempt };
+    const job = { ...baselines.createJob(pending.request, action.part), id: attempt };
     this.#fleet.submit(engineIndex(action.endpoint), job, {
       onFirstToken: () => {
         this.#outcome.firstToken.recordValue(Math.max(1, Math.round(this.#fleet.now - pending.arrivedAt)));
@@ -194,35 +206,35 @@
     });
   }
 
-  #onAnswered({ request, arrivedAt, comeback }: Pending): void {
+  #onAnswered({ request, arrivedAt, isRetry }: PendingRequest): void {
     const inTime = this.#fleet.now - arrivedAt <= request.deadlineMs;
-    if (comeback) {
-      if (inTime) this.#outcome.comebacksInTime++;
+    if (isRetry) {
+      if (inTime) this.#outcome.retriesInTime++;
       return;
     }
     if (inTime) this.#outcome.inTime++;
     else this.#outcome.late++;
-    this.#outcome.onEnded(arrivedAt, inTime);
+    this.#outcome.recordEnd(arrivedAt, inTime);
   }
 
   #onRefused(target: core.Core, id: string, problem: common.Problem): void {
     const pending = this.#pending.get(id);
     this.#pending.delete(id);
-    if (!pending || pending.comeback) return;
+    if (!pending || pending.isRetry) return;
     this.#outcome.refused++;
-    this.#outcome.onEnded(pending.arrivedAt, false);
+    this.#outcome.recordEnd(pending.arrivedAt, false);
     const waitMs = problem.retryAfterMs;
-    if (!this.#options.comeBack || waitMs === undefined) return;
-    this.#outcome.comebacks++;
-    this.#fleet.after(waitMs, () => {
-      // A caller keeps the address that it was given, so it comes back to the same daemon.
+    if (!this.#options.retriesRefused || waitMs === undefined) return;
+    this.#outcome.retries++;
+    this.#fleet.schedule(waitMs, () => {
+      // Callers keep the address that they resolved, so a retry goes to the same daemon.
       this.#sendTo(target, pending.request, true);
     });
   }
 
-  #renew(target: core.Core, lease: string | undefined): void {
+  #renewLease(target: core.Core, lease: string | undefined): void {
     const sentAt = this.#fleet.now;
-    this.#fleet.after(CALL_MS, () => {
+    this.#fleet.schedule(STORE_LATENCY_MS, () => {
       if (this.#keyValueDown) {
         this.#handle(target, { type: core.EventType.KeyValueFailed });
         return;
@@ -237,17 +249,17 @@
     });
   }
 
-  #transact(target: core.Core, action: Extract<core.Action, { type: core.ActionType.Transact }>): void {
+  #scheduleTransaction(target: core.Core, action: Extract<core.Action, { type: core.ActionType.Transact }>): void {
     const { token, transaction } = action;
-    this.#fleet.after(CALL_MS, () => {
+    this.#fleet.schedule(STORE_LATENCY_MS, () => {
       const result = this.#keyValueDown
         ? { outcome: core.TransactionOutcome.NotSent, revision: 0 }
-        : this.#apply(target, transaction);
+        : this.#applyTransaction(target, transaction);
       this.#handle(target, { type: core.EventType.Transacted, token, result });
     });
   }
 
-  #apply(target: core.Core, transaction: core.Transaction): core.TransactionResult {
+  #applyTransaction(target: core.Core, transaction: core.Transaction): core.TransactionResult {
     const compares = transaction.conditions.map(({ key, kind, revision }) => ({ key, target: kind, revision }));
     const lease = target.leaseId ?? "0";
     const puts = transaction.puts.map(({ key, value, leased }) => ({
@@ -261,12 +273,12 @@
     return { outcome, revision: this.#store.revision };
   }
 
-  #order(target: core.Core, action: core.SendOrderAction): void {
+  #executeRoleOrder(target: core.Core, action: core.SendOrderAction): void {
     const { endpoint, number, role } = action;
     const engine = engineIndex(endpoint);
     this.#fleet.changeRole(engine, role);
     const finish = (): void => {
-      if (this.#fleet.isAway(engine)) this.#fleet.after(100, finish);
+      if (this.#fleet.isUnavailable(engine)) this.#fleet.schedule(100, finish);
       else {
         const outcome = core.OrderOutcome.Confirmed;
         this.#handle(target, { type: core.EventType.OrderAnswered, endpoint, number, outcome });
@@ -275,31 +287,32 @@
     finish();
   }
 
-  #exchange(target: core.Core): void {
+  /** Sends a core's heartbeat to its peers, and the engines' load reports to the core. */
+  #sendReports(target: core.Core): void {
     const report = target.heartbeat(this.#fleet.now);
     for (const other of this.#cores) {
       if (other === target) continue;
-      const told = this.#options.exchanges
+      const sentReport = this.#options.sharesLoad
         ? report
-        : { ...report, shares: report.shares.map(withoutUse), services: report.services.map(withoutWaiting) };
-      this.#handle(other, { type: core.EventType.PeerHeard, report: told });
+        : { ...report, shares: report.shares.map(withoutLoad), services: report.services.map(withoutQueue) };
+      this.#handle(other, { type: core.EventType.PeerHeard, report: sentReport });
     }
     if (!this.#keyValueDown) this.#handle(target, { type: core.EventType.KeyValueHeard, revision: 0 });
-    for (let engine = 0; engine < this.#fleet.size; engine++) this.#report(target, engine);
+    for (let engine = 0; engine < this.#fleet.size; engine++) this.#sendLoadReport(target, engine);
   }
 
-  #report(target: core.Core, engine: number): void {
+  #sendLoadReport(target: core.Core, engine: number): void {
     const report = {
       endpoint: `${this.#trace.team}/engine-${engine + 1}`,
       ...this.#fleet.loadOf(engine),
       role: this.#fleet.roleOf(engine),
     };
-    this.#fleet.after(this.#trace.reportLagMs, () => {
+    this.#fleet.schedule(this.#trace.reportLagMs, () => {
       this.#handle(target, { type: core.EventType.LoadReported, report });
     });
   }
 
-  #configure(): void {
+  #writeTeamDocument(): void {
     const endpoints = this.#trace.roles.map((_, index) => {
       const state = this.#withdrawn.has(index) ? "draining" : "active";
       return `  engine-${index + 1}: { service: assist, url: "http://10.0.0.${index + 1}", dataCentre: a, role: auto, state: ${state}, checksFencing: true }`;
@@ -314,32 +327,32 @@
     const record: core.TeamRecord = { text, version, author: "replay", attempt: "", acceptedAt: 0 };
     const key = core.controlKey(core.ControlKind.Team, this.#trace.team);
     this.#store.transact([], [{ kind: "put", key, value: JSON.stringify(record), lease: "0" }]);
-    if (version === 1) for (const target of this.#cores) this.#readAll(target);
+    if (version === 1) for (const target of this.#cores) this.#sendSnapshot(target);
   }
 
-  #readAll(target: core.Core): void {
+  #sendSnapshot(target: core.Core): void {
     const prefix = core.constants.CONTROL_PREFIX;
     const records = this.#store.range(prefix, core.prefixEnd(prefix)).map((stored) => ({ ...stored }));
     this.#handle(target, { type: core.EventType.ControlSnapshot, records, revision: this.#store.revision });
   }
 
-  #tellWatches(events: standIns.StoreEvent[]): void {
+  #notifyWatches(events: standIns.StoreEvent[]): void {
     if (this.#keyValueDown) return;
     const records = events.map(({ key, revision, stored }) =>
       stored ? { ...stored } : { key, value: "", createRevision: 0, modRevision: revision, deleted: true },
     );
     const completeRevision = events[0]?.revision ?? 0;
-    this.#fleet.after(CALL_MS, () => {
+    this.#fleet.schedule(STORE_LATENCY_MS, () => {
       for (const target of this.#cores) {
         this.#handle(target, { type: core.EventType.ControlChanges, records, completeRevision });
       }
     });
   }
 
-  #every(milliseconds: number, run: () => void): void {
-    this.#fleet.after(milliseconds, () => {
+  #repeatEvery(milliseconds: number, run: () => void): void {
+    this.#fleet.schedule(milliseconds, () => {
       run();
-      this.#every(milliseconds, run);
+      this.#repeatEvery(milliseconds, run);
     });
   }
 }
@@ -348,10 +361,10 @@
   return Number(/engine-(\d+)$/.exec(endpoint)?.[1] ?? "1") - 1;
 }
 
-function withoutUse(share: core.EndpointShare): core.EndpointShare {
+function withoutLoad(share: core.EndpointShare): core.EndpointShare {
   return { ...share, prefillTokens: 0, streams: 0 };
 }
 
-function withoutWaiting(share: core.ServiceShare): core.ServiceShare {
+function withoutQueue(share: core.ServiceShare): core.ServiceShare {
   return { ...share, waiting: { tokens: 0, requests: 0 } };
 }
--- a/packages/measure/src/engineFleet.ts
+++ b/packages/measure/src/engineFleet.ts
@@ -3,24 +3,24 @@
 import * as standIns from "@camphorcourse/stand-ins";
 import type * as outcomeModule from "./outcome.js";
 
-/** What a job's owner is told. */
+/** Receives the progress of a job. */
 export interface JobListener {
   onFirstToken(): void;
-  /** The last token, or the end of the prefill. */
+  /** The job has emitted its last token, or finished its prefill. */
   onDone(): void;
-  /** The engine was away or in another role: it did not run. */
+  /** The job did not run: the engine was unavailable, or its role doesn't accept the part. */
   onRefused(): void;
 }
 
-interface Timed {
+interface ScheduledEvent {
   readonly at: number;
   readonly sequence: number;
   readonly run: () => void;
 }
 
 /**
- * Costs of the replayed engines. They differ from what the core starts from,
- * so that its predictions have to be learned.
+ * Costs of the simulated engines. They differ from the core's initial
+ * estimates, so that its predictions have to be learned.
  */
 export const REPLAY_COSTS: standIns.EngineCosts = {
   ...standIns.DEFAULT_COSTS,
@@ -29,14 +29,14 @@
   decodeStreamMs: 0.4,
 };
 
-/** Engines at their interface, in virtual time. */
+/** Simulates a fleet of engines in virtual time, with a queue of scheduled events. */
 export class EngineFleet {
   readonly #engines: standIns.EngineModel[];
-  readonly #jobs: Map<string, JobListener>[];
-  readonly #scheduled: boolean[];
+  readonly #listeners: Map<string, JobListener>[];
+  readonly #stepScheduled: boolean[];
   readonly #outcome: outcomeModule.Outcome;
   readonly #lastTokenAt = new Map<string, number>();
-  readonly #queue = new tinyqueue.default<Timed>(
+  readonly #events = new tinyqueue.default<ScheduledEvent>(
     [],
     (left, right) => left.at - right.at || left.sequence - right.sequence,
   );
@@ -44,33 +44,39 @@
   now = 0;
 
   /**
-   * @param roles - of the engines at the start
-   * @param outcome - takes the times between tokens and the role changes
+   * @param roles - initial roles of the engines
+   * @param outcome - where the times between tokens and the role changes are recorded
    */
   constructor(roles: readonly core.EndpointRole[], outcome: outcomeModule.Outcome) {
     this.#engines = roles.map((role) => new standIns.EngineModel(toEngineRole(role), REPLAY_COSTS));
-    this.#jobs = roles.map(() => new Map<string, JobListener>());
-    this.#scheduled = roles.map(() => false);
+    this.#listeners = roles.map(() => new Map<string, JobListener>());
+    this.#stepScheduled = roles.map(() => false);
     this.#outcome = outcome;
   }
 
-  /** @returns how many engines there are */
+  /** @returns the number of engines */
   get size(): number {
     return this.#engines.length;
   }
 
   /**
-   * @param delayMs - from now
-   * @param run - what happens then
+   * Schedules a callback in virtual time.
+   *
+   * @param delayMs - delay from now
+   * @param run - called after the delay
    */
-  after(delayMs: number, run: () => void): void {
-    this.#queue.push({ at: this.now + delayMs, sequence: this.#sequence++, run });
+  schedule(delayMs: number, run: () => void): void {
+    this.#events.push({ at: this.now + delayMs, sequence: this.#sequence++, run });
   }
 
-  /** @param untilMs - runs everything up to this time */
+  /**
+   * Advances the virtual time and runs the events that are due until then.
+   *
+   * @param untilMs - the new virtual time
+   */
   run(untilMs: number): void {
-    for (let next = this.#queue.peek(); next && next.at <= untilMs; next = this.#queue.peek()) {
-      this.#queue.pop();
+    for (let next = this.#events.peek(); next && next.at <= untilMs; next = this.#events.peek()) {
+      this.#events.pop();
       this.now = Math.max(this.now, next.at);
       next.run();
     }
@@ -91,7 +97,7 @@
 
   /**
    * @param engine - index of the engine
-   * @returns requests that wait or run there
+   * @returns the number of requests that wait or run on the engine
    */
   loadOf(engine: number): { waiting: number; running: number } {
     const { waiting, running } = this.#engine(engine);
@@ -100,31 +106,35 @@
 
   /**
    * @param engine - index of the engine
-   * @returns whether a role change keeps it away
+   * @returns whether the engine is unavailable because of a role change
    */
-  isAway(engine: number): boolean {
+  isUnavailable(engine: number): boolean {
     return this.#engine(engine).isAway(this.now);
   }
 
   /**
+   * Submits a job to an engine.
+   *
    * @param engine - index of the engine
-   * @param job - what to run
-   * @param listener - told how it goes
+   * @param job - the job to run
+   * @param listener - receives the progress of the job
    */
   submit(engine: number, job: standIns.EngineJob, listener: JobListener): void {
     const model = this.#engine(engine);
     if (model.isAway(this.now) || !model.accepts(job.part)) {
-      this.after(1, () => {
+      this.schedule(1, () => {
         listener.onRefused();
       });
       return;
     }
-    this.#jobs[engine]?.set(job.id, listener);
+    this.#listeners[engine]?.set(job.id, listener);
     model.submit(job, this.now);
-    this.#schedule(engine);
+    this.#scheduleStep(engine);
   }
 
   /**
+   * Starts a role change.
+   *
    * @param engine - index of the engine
    * @param role - the new role
    */
@@ -139,19 +149,19 @@
     return model;
   }
 
-  #schedule(engine: number): void {
+  #scheduleStep(engine: number): void {
     const endsAt = this.#engine(engine).stepEndsAt;
-    if (endsAt === undefined || this.#scheduled[engine]) return;
-    this.#scheduled[engine] = true;
-    this.after(endsAt - this.now, () => {
-      this.#scheduled[engine] = false;
-      for (const progress of this.#engine(engine).finishStep(this.now)) this.#advance(engine, progress);
-      this.#schedule(engine);
+    if (endsAt === undefined || this.#stepScheduled[engine]) return;
+    this.#stepScheduled[engine] = true;
+    this.schedule(endsAt - this.now, () => {
+      this.#stepScheduled[engine] = false;
+      for (const progress of this.#engine(engine).finishStep(this.now)) this.#reportProgress(engine, progress);
+      this.#scheduleStep(engine);
     });
   }
 
-  #advance(engine: number, progress: standIns.JobProgress): void {
-    const listener = this.#jobs[engine]?.get(progress.id);
+  #reportProgress(engine: number, progress: standIns.JobProgress): void {
+    const listener = this.#listeners[engine]?.get(progress.id);
     if (!listener) return;
     const before = this.#lastTokenAt.get(progress.id);
     if (progress.emitted > 0) this.#lastTokenAt.set(progress.id, this.now);
@@ -159,14 +169,16 @@
     if (before !== undefined) this.#outcome.betweenTokens.recordValue(Math.max(1, Math.round(this.now - before)));
     if (!progress.finished) return;
     this.#lastTokenAt.delete(progress.id);
-    this.#jobs[engine]?.delete(progress.id);
+    this.#listeners[engine]?.delete(progress.id);
     listener.onDone();
   }
 }
 
 /**
- * @param part - of a request
- * @returns the same at an engine
+ * Converts a part of a request to the engine's job part.
+ *
+ * @param part - part of a request
+ * @returns the job part with the same meaning
  */
 export function toJobPart(part: core.RequestPart): standIns.JobPart {
   const parts: Record<core.RequestPart, standIns.JobPart> = {
--- a/packages/measure/src/gatewayMeasure.ts
+++ b/packages/measure/src/gatewayMeasure.ts
@@ -2,8 +2,8 @@
 import * as histograms from "hdr-histogram-js";
 import * as undici from "undici";
 
-/** One line of the gateway's table. */
-export type Line = Record<string, string | number>;
+/** One row of a result table: values by column heading. */
+export type TableRow = Record<string, string | number>;
 
 interface LoadResult {
   readonly perSecond: number;
@@ -12,11 +12,12 @@
 }
 
 const AUTHORIZATION = { authorization: `Bearer ${standIns.TEAM_TOKEN}` };
-const SCALE = 1000;
+/** Histograms hold whole microseconds. */
+const UNITS_PER_MS = 1000;
 const CONNECTIONS = 256;
 
-/** Times through a daemon against times straight to the endpoint, side by side in one run. */
-export async function measureGateway(): Promise<Line[]> {
+/** Compares latencies through a daemon with latencies of direct calls to the endpoint, in one run. */
+export async function measureGateway(): Promise<TableRow[]> {
   const fleet = new standIns.Fleet({
     engines: 2,
     services: 3,
@@ -24,42 +25,45 @@
     engineFlags: ["--speed", "1"],
     serviceFlags: ["--duration", "1"],
   });
-  const lines: Line[] = [];
+  const rows: TableRow[] = [];
   try {
     await fleet.start({ perEndpoint: 512 });
-    lines.push(...(await measureSmallCalls(fleet)));
-    lines.push(...(await measureHighestRate(fleet)));
-    lines.push(...(await measureStreams(fleet)));
-    lines.push(...(await measureClaims(fleet)));
+    rows.push(...(await measureSmallCalls(fleet)));
+    rows.push(...(await measureHighestRate(fleet)));
+    rows.push(...(await measureStreams(fleet)));
+    rows.push(...(await measureClaims(fleet)));
   } finally {
     fleet.stop();
   }
-  return lines;
+  return rows;
 }
 
-async function measureSmallCalls(fleet: standIns.Fleet): Promise<Line[]> {
+async function measureSmallCalls(fleet: standIns.Fleet): Promise<TableRow[]> {
   const { url } = fleet.daemon(0);
-  const direct = fleet.services[0]?.url ?? "";
-  await load(url, "/v1/services/yard-app/x", 500, 2);
-  const [through, straight] = [await load(url, "/v1/services/yard-app/x", 500, 10), await load(direct, "/x", 500, 10)];
+  const directUrl = fleet.services[0]?.url ?? "";
+  await runOpenLoopLoad(url, "/v1/services/yard-app/x", 500, 2);
+  const [through, direct] = [
+    await runOpenLoopLoad(url, "/v1/services/yard-app/x", 500, 10),
+    await runOpenLoopLoad(directUrl, "/x", 500, 10),
+  ];
   return [
-    { measure: "small call, 500/s, straight", ...quantiles(straight) },
-    { measure: "small call, 500/s, through a daemon", ...quantiles(through) },
+    { measure: "small call, 500/s, straight", ...formatPercentiles(direct) },
+    { measure: "small call, 500/s, through a daemon", ...formatPercentiles(through) },
   ];
 }
 
-async function measureHighestRate(fleet: standIns.Fleet): Promise<Line[]> {
-  const lines: Line[] = [];
+async function measureHighestRate(fleet: standIns.Fleet): Promise<TableRow[]> {
+  const rows: TableRow[] = [];
   for (const rate of [1000, 1500, 2000, 2500, 3000]) {
-    const result = await load(fleet.daemon(0).url, "/v1/services/yard-app/x", rate, 5);
-    lines.push({ measure: `small call, ${rate}/s offered, one daemon`, ...quantiles(result) });
-    if (result.histogram.getValueAtPercentile(99) > 10 * SCALE) break;
+    const result = await runOpenLoopLoad(fleet.daemon(0).url, "/v1/services/yard-app/x", rate, 5);
+    rows.push({ measure: `small call, ${rate}/s offered, one daemon`, ...formatPercentiles(result) });
+    if (result.histogram.getValueAtPercentile(99) > 10 * UNITS_PER_MS) break;
   }
-  return lines;
+  return rows;
 }
 
-/** Open loop: calls go out at their times, whether or not earlier ones have been answered. */
-async function load(
+/** Sends calls at a constant rate (open loop): each at its scheduled time, even if earlier ones are unanswered. */
+async function runOpenLoopLoad(
   url: string,
   path: string,
   perSecond: number,
@@ -67,20 +71,20 @@
   headersOf: (index: number) => Record<string, string> = () => ({}),
 ): Promise<LoadResult> {
   const pool = new undici.Pool(url, { connections: CONNECTIONS });
-  const histogram = histograms.build({ highestTrackableValue: 60_000 * SCALE });
-  const begun = performance.now();
+  const histogram = histograms.build({ highestTrackableValue: 60_000 * UNITS_PER_MS });
+  const startedAt = performance.now();
   const pending: Promise<void>[] = [];
   let failed = 0;
   for (let index = 0; index < perSecond * seconds; index++) {
-    const due = begun + (index * 1000) / perSecond;
-    const early = due - performance.now();
-    if (early > 1) await new Promise((resolve) => setTimeout(resolve, early));
+    const dueAt = startedAt + (index * 1000) / perSecond;
+    const waitMs = dueAt - performance.now();
+    if (waitMs > 1) await new Promise((resolve) => setTimeout(resolve, waitMs));
     const headers = { ...AUTHORIZATION, ...headersOf(index) };
     const call = pool.request({ path, method: "POST", headers, body: "label" }).then(
       async (reply) => {
         await reply.body.dump();
         if (reply.statusCode !== 200) failed++;
-        histogram.recordValue(Math.max(1, Math.round((performance.now() - due) * SCALE)));
+        histogram.recordValue(Math.max(1, Math.round((performance.now() - dueAt) * UNITS_PER_MS)));
       },
       () => {
         failed++;
@@ -89,28 +93,28 @@
     pending.push(call);
   }
   await Promise.all(pending);
-  const took = (performance.now() - begun) / 1000;
+  const elapsedSeconds = (performance.now() - startedAt) / 1000;
   await pool.close();
-  return { perSecond: Math.round((perSecond * seconds) / took), histogram, failed };
+  return { perSecond: Math.round((perSecond * seconds) / elapsedSeconds), histogram, failed };
 }
 
-async function measureStreams(fleet: standIns.Fleet): Promise<Line[]> {
+async function measureStreams(fleet: standIns.Fleet): Promise<TableRow[]> {
   const engine = fleet.engines[0]?.url ?? "";
-  const straight = await streams([engine], 30);
-  const through = await streams([fleet.daemon(0).url], 30);
-  const many = await streams([fleet.daemon(0).url], 200);
+  const direct = await runStreams([engine], 30);
+  const through = await runStreams([fleet.daemon(0).url], 30);
+  const manyThrough = await runStreams([fleet.daemon(0).url], 200);
   return [
-    { measure: "first token, 30 streams, straight", ...quantiles(straight.first) },
-    { measure: "first token, 30 streams, through", ...quantiles(through.first) },
-    { measure: "between tokens, 30 streams, straight", ...quantiles(straight.between) },
-    { measure: "between tokens, 30 streams, through", ...quantiles(through.between) },
-    { measure: "between tokens, 200 streams, through", ...quantiles(many.between) },
+    { measure: "first token, 30 streams, straight", ...formatPercentiles(direct.first) },
+    { measure: "first token, 30 streams, through", ...formatPercentiles(through.first) },
+    { measure: "between tokens, 30 streams, straight", ...formatPercentiles(direct.between) },
+    { measure: "between tokens, 30 streams, through", ...formatPercentiles(through.between) },
+    { measure: "between tokens, 200 streams, through", ...formatPercentiles(manyThrough.between) },
   ];
 }
 
-async function streams(urls: readonly string[], count: number): Promise<{ first: LoadResult; between: LoadResult }> {
-  const first = histograms.build({ highestTrackableValue: 600_000 * SCALE });
-  const between = histograms.build({ highestTrackableValue: 600_000 * SCALE });
+async function runStreams(urls: readonly string[], count: number): Promise<{ first: LoadResult; between: LoadResult }> {
+  const first = histograms.build({ highestTrackableValue: 600_000 * UNITS_PER_MS });
+  const between = histograms.build({ highestTrackableValue: 600_000 * UNITS_PER_MS });
   const pool = new undici.Agent({ connections: CONNECTIONS, headersTimeout: 60_000 });
   const run = async (index: number): Promise<void> => {
     const url = urls[index % urls.length] ?? "";
@@ -120,7 +124,7 @@
       max_tokens: 60,
       stream: true,
     });
-    const begun = performance.now();
+    const startedAt = performance.now();
     const headers = { ...AUTHORIZATION, "content-type": "application/json" };
     const target = `${url}/v1/chat/completions`;
     const reply = await undici.request(target, { method: "POST", headers, body, dispatcher: pool });
@@ -128,8 +132,8 @@
     for await (const chunk of reply.body as AsyncIterable<Buffer>) {
       if (!chunk.includes("data:")) continue;
       const now = performance.now();
-      if (last === 0) first.recordValue(Math.round((now - begun) * SCALE));
-      else between.recordValue(Math.max(1, Math.round((now - last) * SCALE)));
+      if (last === 0) first.recordValue(Math.round((now - startedAt) * UNITS_PER_MS));
+      else between.recordValue(Math.max(1, Math.round((now - last) * UNITS_PER_MS)));
       last = now;
     }
   };
@@ -141,34 +145,37 @@
   };
 }
 
-/** Calls that may not be repeated, at three daemons, and the key-value writes that they cost. */
-async function measureClaims(fleet: standIns.Fleet): Promise<Line[]> {
+/** Measures calls that must not run twice (with an idempotency key) at three daemons, and their key-value writes. */
+async function measureClaims(fleet: standIns.Fleet): Promise<TableRow[]> {
   const seconds = 10;
-  const before = await calls(fleet);
+  const before = await fetchCallCounts(fleet);
   const results = await Promise.all(
     [0, 1, 2].map((index) =>
-      load(fleet.daemon(index).url, "/v1/services/yard-app/x", 334, seconds, (call) => ({
+      runOpenLoopLoad(fleet.daemon(index).url, "/v1/services/yard-app/x", 334, seconds, (call) => ({
         "idempotency-key": `measure-${index}-${call}`,
       })),
     ),
   );
-  const after = await calls(fleet);
+  const after = await fetchCallCounts(fleet);
   const writes = ((after.txn ?? 0) - (before.txn ?? 0)) / seconds;
   const failed = results.reduce((sum, result) => sum + result.failed, 0);
   const answered = 3 * 334 * seconds - failed;
   return [
-    ...results.map((result, index) => ({ measure: `claimed calls, 334/s, daemon ${index + 1}`, ...quantiles(result) })),
+    ...results.map((result, index) => ({
+      measure: `claimed calls, 334/s, daemon ${index + 1}`,
+      ...formatPercentiles(result),
+    })),
     { measure: "key-value writes a second for them", value: Math.round(writes) },
     { measure: "claims a write", value: (answered / seconds / Math.max(1, writes)).toFixed(1) },
   ];
 }
 
-async function calls(fleet: standIns.Fleet): Promise<Record<string, number>> {
+async function fetchCallCounts(fleet: standIns.Fleet): Promise<Record<string, number>> {
   const reply = await fetch(`${fleet.keyValueUrl}/calls`);
   return (await reply.json()) as Record<string, number>;
 }
 
-function quantiles({ histogram, perSecond, failed }: LoadResult): Line {
-  const at = (percentile: number): string => (histogram.getValueAtPercentile(percentile) / SCALE).toFixed(2);
+function formatPercentiles({ histogram, perSecond, failed }: LoadResult): TableRow {
+  const at = (percentile: number): string => (histogram.getValueAtPercentile(percentile) / UNITS_PER_MS).toFixed(2);
   return { "p50 ms": at(50), "p95 ms": at(95), "p99 ms": at(99), "answered/s": perSecond, failed };
 }
--- a/packages/measure/src/main.ts
+++ b/packages/measure/src/main.ts
@@ -10,18 +10,18 @@
   "usage: npm run measure -- policy [TRACE or POLICY ...] | gateway | slopes | decisions | configuration | outage";
 
 async function measurePolicy(names: readonly string[]): Promise<void> {
-  const all = Object.values(replay.Policy);
-  const policies = all.filter((policy) => names.includes(policy));
-  const traces = names.filter((name) => !all.some((policy) => policy.valueOf() === name));
-  const figures = await policyMeasure.measurePolicies(SEEDS, policies.length > 0 ? policies : all, traces);
-  console.table(policyMeasure.summarize(figures));
+  const allPolicies = Object.values(replay.Policy);
+  const policies = allPolicies.filter((policy) => names.includes(policy));
+  const traces = names.filter((name) => !allPolicies.some((policy) => policy.valueOf() === name));
+  const results = await policyMeasure.measurePolicies(SEEDS, policies.length > 0 ? policies : allPolicies, traces);
+  console.table(policyMeasure.summarize(results));
 }
 
-const [what, ...names] = process.argv.slice(2);
-if (what === "policy") await measurePolicy(names);
-else if (what === "gateway") console.table(await gatewayMeasure.measureGateway());
-else if (what === "slopes") console.table(await slopesMeasure.measureSlopes());
-else if (what === "decisions") console.table(slopesMeasure.measureCore());
-else if (what === "outage") console.table(await outageMeasure.measureOutage());
-else if (what === "configuration") console.table(await configurationMeasure.measureConfiguration());
+const [measurement, ...names] = process.argv.slice(2);
+if (measurement === "policy") await measurePolicy(names);
+else if (measurement === "gateway") console.table(await gatewayMeasure.measureGateway());
+else if (measurement === "slopes") console.table(await slopesMeasure.measureSlopes());
+else if (measurement === "decisions") console.table(slopesMeasure.measureCore());
+else if (measurement === "outage") console.table(await outageMeasure.measureOutage());
+else if (measurement === "configuration") console.table(await configurationMeasure.measureConfiguration());
 else console.log(USAGE);
--- a/packages/measure/src/outageMeasure.ts
+++ b/packages/measure/src/outageMeasure.ts
@@ -1,68 +1,68 @@
 import * as standIns from "@camphorcourse/stand-ins";
 import type * as gatewayMeasure from "./gatewayMeasure.js";
 
-const AWAY_MS = 120_000;
-const AFTER_SECONDS = 15;
-const ASK_EACH_MS = 100;
-const SLOW_REPLY_MS = 5000;
+const OUTAGE_MS = 120_000;
+const RECOVERY_SECONDS = 15;
+const REQUEST_INTERVAL_MS = 100;
+const SLOW_RESPONSE_MS = 5000;
 
-/** Two minutes without the key-value service, and two with a slow one, at nine daemons under load. */
-export async function measureOutage(): Promise<gatewayMeasure.Line[]> {
+/** Measures nine daemons under load while the key-value service is down, and then slow, for two minutes each. */
+export async function measureOutage(): Promise<gatewayMeasure.TableRow[]> {
   const fleet = new standIns.Fleet({ engines: 3, services: 1, daemons: 9 });
   try {
     await fleet.start();
     return [
-      await measureAway(fleet, "down", { down: true }, { down: false }),
-      await measureAway(fleet, "slow", { slowMs: SLOW_REPLY_MS }, { slowMs: 0 }),
+      await measureFault(fleet, "down", { down: true }, { down: false }),
+      await measureFault(fleet, "slow", { slowMs: SLOW_RESPONSE_MS }, { slowMs: 0 }),
     ];
   } finally {
     fleet.stop();
   }
 }
 
-async function measureAway(
+async function measureFault(
   fleet: standIns.Fleet,
   name: string,
   begin: standIns.FaultChange,
   end: standIns.FaultChange,
-): Promise<gatewayMeasure.Line> {
+): Promise<gatewayMeasure.TableRow> {
   await fleet.fault(fleet.keyValueUrl, begin);
-  const served = await ask(fleet, AWAY_MS);
+  const served = await sendRequests(fleet, OUTAGE_MS);
   await fleet.fault(fleet.keyValueUrl, end);
-  const rates = await callRates(fleet);
+  const rates = await measureCallRates(fleet);
   const claimed = await standIns.until(async () => (await fleet.printLabel(4, `after-${name}`)).ok);
   return {
-    measure: `${AWAY_MS / 1000} s ${name}, 9 daemons`,
-    "model requests": served.asked,
-    "answered whole": served.whole,
+    measure: `${OUTAGE_MS / 1000} s ${name}, 9 daemons`,
+    "model requests": served.sent,
+    "answered whole": served.complete,
     "calls/s after, highest": Math.max(...rates),
     "calls/s after, last": rates.at(-1) ?? 0,
     "claims work again": claimed ? "yes" : "no",
   };
 }
 
-async function ask(fleet: standIns.Fleet, milliseconds: number): Promise<{ asked: number; whole: number }> {
+async function sendRequests(fleet: standIns.Fleet, milliseconds: number): Promise<{ sent: number; complete: number }> {
   const end = Date.now() + milliseconds;
   const pending: Promise<boolean>[] = [];
   for (let index = 0; Date.now() < end; index++) {
-    pending.push(askOnce(fleet, index));
-    await new Promise((resolve) => setTimeout(resolve, ASK_EACH_MS));
+    pending.push(sendRequest(fleet, index));
+    await new Promise((resolve) => setTimeout(resolve, REQUEST_INTERVAL_MS));
   }
   const results = await Promise.all(pending);
-  return { asked: results.length, whole: results.filter(Boolean).length };
+  return { sent: results.length, complete: results.filter(Boolean).length };
 }
 
-async function askOnce(fleet: standIns.Fleet, index: number): Promise<boolean> {
+async function sendRequest(fleet: standIns.Fleet, index: number): Promise<boolean> {
   const prompt = `outage ${index}`;
   const reply = await fleet.ask(index % fleet.daemons.length, prompt, 8);
   const read = await standIns.readStream(reply);
   return read.complete && read.text === standIns.wholeAnswer(prompt, 8);
 }
 
-async function callRates(fleet: standIns.Fleet): Promise<number[]> {
+async function measureCallRates(fleet: standIns.Fleet): Promise<number[]> {
   const rates: number[] = [];
   let before = await countCalls(fleet);
-  for (let second = 0; second < AFTER_SECONDS; second++) {
+  for (let second = 0; second < RECOVERY_SECONDS; second++) {
     await new Promise((resolve) => setTimeout(resolve, 1000));
     const now = await countCalls(fleet);
     rates.push(now - before);
--- a/packages/measure/src/policyMeasure.ts
+++ b/packages/measure/src/policyMeasure.ts
@@ -3,8 +3,8 @@
 import * as replayModule from "./replay.js";
 import * as traceModule from "./trace.js";
 
-/** The figures of one replay. */
-export interface Figures {
+/** The results of one replay; the replay process prints them as JSON. */
+export interface ReplayResult {
   readonly trace: string;
   readonly policy: replayModule.Policy;
   readonly seed: number;
@@ -18,20 +18,22 @@
   readonly comebackShare: number;
   readonly comebacks: number;
   readonly microsecondsPerDecision: number;
-  /** Goodput of the last 30 s of arrivals, to see whether an overload is over. */
+  /** Goodput of the requests that arrive in the last 30 s; shows whether the router recovered from an overload. */
   readonly goodputAtEnd: number;
 }
 
-const END_SECONDS = 30;
-const PARALLEL = 7;
+const FINAL_SECONDS = 30;
+const MAX_PROCESSES = 7;
 
 /**
- * @param trace - the trace
- * @param policy - what routes
- * @param seed - of the replay
- * @returns its figures
+ * Replays one trace and summarizes the outcome.
+ *
+ * @param trace - the trace to replay
+ * @param policy - the routing policy
+ * @param seed - random seed of the replay
+ * @returns the results
  */
-export function measureReplay(trace: traceModule.Trace, policy: replayModule.Policy, seed: number): Figures {
+export function measureReplay(trace: traceModule.Trace, policy: replayModule.Policy, seed: number): ReplayResult {
   const outcome = replayModule.replay(trace, policy, seed);
   const { requests } = outcome;
   const percentiles = (histogram: typeof outcome.firstToken): [number, number, number] => [
@@ -40,7 +42,7 @@
     histogram.getValueAtPercentile(99),
   ];
   const seconds = [...outcome.requestsBySecond.keys()];
-  const from = Math.max(...seconds) - END_SECONDS;
+  const from = Math.max(...seconds) - FINAL_SECONDS;
   const sumFrom = (counts: Map<number, number>): number =>
     [...counts].filter(([second]) => second >= from).reduce((sum, [, count]) => sum + count, 0);
   return {
@@ -54,57 +56,59 @@
     firstToken: percentiles(outcome.firstToken),
     betweenTokens: percentiles(outcome.betweenTokens),
     attemptsPerRequest: outcome.attempts / requests,
-    comebackShare: outcome.comebackShare,
-    comebacks: outcome.comebacks,
+    comebackShare: outcome.retrySuccessShare,
+    comebacks: outcome.retries,
     microsecondsPerDecision: outcome.decisions === 0 ? 0 : outcome.decisionMicroseconds / outcome.decisions,
     goodputAtEnd: sumFrom(outcome.inTimeBySecond) / Math.max(1, sumFrom(outcome.requestsBySecond)),
   };
 }
 
 /**
- * Replays every trace under every policy and seed, several processes side by side.
+ * Replays each trace with each policy and seed, in several processes in parallel.
  *
- * @param seeds - of the replays
- * @param policies - to be compared
- * @param traceNames - which traces; all if empty
- * @returns the figures
+ * @param seeds - random seeds of the replays
+ * @param policies - the policies to compare
+ * @param traceNames - names of the traces to replay; all if empty
+ * @returns the results of all replays
  */
 export async function measurePolicies(
   seeds: readonly number[],
   policies: readonly replayModule.Policy[],
   traceNames: readonly string[],
-): Promise<Figures[]> {
+): Promise<ReplayResult[]> {
   const traces = traceModule.readTraces().filter(({ name }) => traceNames.length === 0 || traceNames.includes(name));
   const jobs = traces.flatMap(({ name }) =>
     policies.flatMap((policy) => seeds.map((seed) => ({ name, policy, seed }))),
   );
-  const figures: Figures[] = [];
+  const results: ReplayResult[] = [];
   const worker = async (): Promise<void> => {
     for (let job = jobs.shift(); job; job = jobs.shift()) {
-      figures.push(await inProcess([job.name, job.policy, String(job.seed)]));
+      results.push(await runReplayProcess([job.name, job.policy, String(job.seed)]));
     }
   };
-  await Promise.all(Array.from({ length: PARALLEL }, worker));
-  return figures;
+  await Promise.all(Array.from({ length: MAX_PROCESSES }, worker));
+  return results;
 }
 
-function inProcess(args: string[]): Promise<Figures> {
+function runReplayProcess(args: string[]): Promise<ReplayResult> {
   const script = url.fileURLToPath(new URL("replayProcess.js", import.meta.url));
   return new Promise((resolve, reject) => {
     childProcess.execFile(process.execPath, [script, ...args], (error, output) => {
       if (error) reject(error);
-      else resolve(JSON.parse(output) as Figures);
+      else resolve(JSON.parse(output) as ReplayResult);
     });
   });
 }
 
 /**
- * @param figures - of all seeds
- * @returns one line of a table for each trace and policy: the median and, of the goodput, the worst
+ * Summarizes the results over the seeds.
+ *
+ * @param results - results of all replays
+ * @returns one table row for each trace and policy: medians, and the lowest goodput
  */
-export function summarize(figures: readonly Figures[]): Record<string, string | number>[] {
-  const groups = new Map<string, Figures[]>();
-  for (const entry of figures) {
+export function summarize(results: readonly ReplayResult[]): Record<string, string | number>[] {
+  const groups = new Map<string, ReplayResult[]>();
+  for (const entry of results) {
     const name = `${entry.trace}|${entry.policy}`;
     groups.set(name, [...(groups.get(name) ?? []), entry]);
   }
@@ -113,8 +117,8 @@
     .sort((left, right) => String(left.trace).localeCompare(String(right.trace)));
 }
 
-function summarizeGroup(group: Figures[]): Record<string, string | number> {
-  const of = (value: (entry: Figures) => number): number => median(group.map(value));
+function summarizeGroup(group: ReplayResult[]): Record<string, string | number> {
+  const of = (value: (entry: ReplayResult) => number): number => median(group.map(value));
   return {
     trace: group[0]?.trace ?? "",
     policy: group[0]?.policy ?? "",
--- a/packages/measure/src/replay.ts
+++ b/packages/measure/src/replay.ts
@@ -6,9 +6,9 @@
 import * as outcomeModule from "./outcome.js";
 import * as traceModule from "./trace.js";
 
-/** The policies that are replayed side by side. */
+/** The routing policies that are compared: the core's, its variants and the baselines. */
 export enum Policy {
-  Ours = "ours",
+  Core = "ours",
   RoundRobin = "round robin",
   LeastConnections = "least connections",
   ThresholdFollower = "threshold follower",
@@ -16,16 +16,16 @@
   NoAdmission = "ours, no admission",
   NoAffinity = "ours, no affinity",
   LongEngineQueues = "ours, long engine queues",
-  NoExchange = "ours, peers untold",
+  NoLoadSharing = "ours, peers untold",
   OneDaemon = "ours, one daemon",
-  ComingBack = "ours, callers come back",
+  RetryingCallers = "ours, callers come back",
 }
 
-const DAEMONS = 3;
+const DAEMON_COUNT = 3;
 const DRAIN_MS = 40_000;
 const NEVER = Number.MAX_SAFE_INTEGER;
 
-/** What routes in a replay. */
+/** The interface of a router under replay. */
 interface Router {
   onRequest(request: traceModule.TraceRequest): void;
   setWithdrawn(engine: number, withdrawn: boolean): void;
@@ -33,35 +33,37 @@
 }
 
 /**
- * @param trace - the trace
- * @param policy - what routes
- * @param seed - of arrivals, sizes and ties
- * @returns how the requests ended
+ * Replays a trace in virtual time.
+ *
+ * @param trace - the trace to replay
+ * @param policy - the routing policy
+ * @param seed - random seed of arrivals, sizes and tie-breaking
+ * @returns counters and latencies of the requests
  */
 export function replay(trace: traceModule.Trace, policy: Policy, seed: number): outcomeModule.Outcome {
   const outcome = new outcomeModule.Outcome();
-  const fleet = new engineFleet.EngineFleet(startRoles(trace, seed), outcome);
-  const router = routerOf(trace, policy, seed, fleet, outcome);
+  const fleet = new engineFleet.EngineFleet(shuffleRoles(trace, seed), outcome);
+  const router = createRouter(trace, policy, seed, fleet, outcome);
   const startMs = fleet.now;
-  for (const request of traceModule.requestsOf(trace, seed)) {
-    fleet.after(startMs + request.atMs - fleet.now, () => {
+  for (const request of traceModule.generateRequests(trace, seed)) {
+    fleet.schedule(startMs + request.atMs - fleet.now, () => {
       router.onRequest(request);
     });
   }
   for (const event of trace.events) {
-    fleet.after(event.atSecond * 1000, () => {
+    fleet.schedule(event.atSecond * 1000, () => {
       if (event.what === "withdraw") router.setWithdrawn(event.engine ?? 0, true);
       if (event.what === "return") router.setWithdrawn(event.engine ?? 0, false);
       if (event.what === "key-value-down") router.setKeyValueDown?.(true);
       if (event.what === "key-value-up") router.setKeyValueDown?.(false);
     });
   }
-  fleet.run(startMs + traceModule.lengthOf(trace) + DRAIN_MS);
+  fleet.run(startMs + traceModule.durationOf(trace) + DRAIN_MS);
   return outcome;
 }
 
-/** The same engines may stand in any order; a seed must not favour one. */
-function startRoles(trace: traceModule.Trace, seed: number): core.EndpointRole[] {
+/** Shuffles the roles by the seed, because results must not depend on the order of the engines. */
+function shuffleRoles(trace: traceModule.Trace, seed: number): core.EndpointRole[] {
   const random = new common.SeededRandom(seed);
   return trace.roles
     .map((role) => ({ role, draw: random.next() }))
@@ -69,31 +71,33 @@
     .map(({ role }) => role);
 }
 
-function routerOf(
+function createRouter(
   trace: traceModule.Trace,
   policy: Policy,
   seed: number,
   fleet: engineFleet.EngineFleet,
   outcome: outcomeModule.Outcome,
 ): Router {
-  const { RoundRobin, LeastConnections } = baselines.Pick;
-  if (policy === Policy.RoundRobin) return new baselines.SimpleRouter(fleet, outcome, RoundRobin, false);
-  if (policy === Policy.LeastConnections) return new baselines.SimpleRouter(fleet, outcome, LeastConnections, false);
-  if (policy === Policy.ThresholdFollower) return new baselines.SimpleRouter(fleet, outcome, LeastConnections, true);
+  const { RoundRobin, LeastConnections } = baselines.SelectionStrategy;
+  if (policy === Policy.RoundRobin) return new baselines.BaselineRouter(fleet, outcome, RoundRobin, false);
+  if (policy === Policy.LeastConnections) return new baselines.BaselineRouter(fleet, outcome, LeastConnections, false);
+  if (policy === Policy.ThresholdFollower) return new baselines.BaselineRouter(fleet, outcome, LeastConnections, true);
   return new coreRouter.CoreRouter(fleet, outcome, trace, {
-    daemons: policy === Policy.OneDaemon ? 1 : DAEMONS,
-    policy: settingsOf(policy),
+    daemons: policy === Policy.OneDaemon ? 1 : DAEMON_COUNT,
+    policy: policySettings(policy),
     seed,
-    comeBack: policy === Policy.ComingBack,
-    exchanges: policy !== Policy.NoExchange,
+    retriesRefused: policy === Policy.RetryingCallers,
+    sharesLoad: policy !== Policy.NoLoadSharing,
   });
 }
 
-function settingsOf(policy: Policy): core.PolicySettings {
-  const ours = core.POLICY_SETTINGS;
-  if (policy === Policy.NoRoleChange) return { ...ours, planner: { ...ours.planner, restMs: NEVER, shortMs: NEVER } };
-  if (policy === Policy.NoAdmission) return { ...ours, refusesLate: false };
-  if (policy === Policy.NoAffinity) return { ...ours, choice: { ...ours.choice, prefixAffinity: false } };
-  if (policy === Policy.LongEngineQueues) return { ...ours, choice: { ...ours.choice, prefillWindowMs: NEVER } };
-  return ours;
+function policySettings(policy: Policy): core.PolicySettings {
+  const defaults = core.POLICY_SETTINGS;
+  if (policy === Policy.NoRoleChange)
+    return { ...defaults, planner: { ...defaults.planner, restMs: NEVER, shortMs: NEVER } };
+  if (policy === Policy.NoAdmission) return { ...defaults, refusesLate: false };
+  if (policy === Policy.NoAffinity) return { ...defaults, choice: { ...defaults.choice, prefixAffinity: false } };
+  if (policy === Policy.LongEngineQueues)
+    return { ...defaults, choice: { ...defaults.choice, prefillWindowMs: NEVER } };
+  return defaults;
 }
--- a/packages/measure/src/slopesMeasure.ts
+++ b/packages/measure/src/slopesMeasure.ts
@@ -3,51 +3,52 @@
 import * as standIns from "@camphorcourse/stand-ins";
 import type * as gatewayMeasure from "./gatewayMeasure.js";
 
-const IDLE_MS = 10_000;
+const IDLE_MEASUREMENT_MS = 10_000;
+/** Unit of the CPU times in `/proc/PID/stat`. */
 const CLOCK_TICKS_PER_SECOND = 100;
 const WARM_UP_MS = 4000;
 
-interface Idle {
+interface IdleCost {
   readonly corePercent: number;
   readonly megabytes: number;
   readonly callsPerSecond: number;
 }
 
-/** What idle daemons cost, and how it grows with peers, endpoints and teams. */
-export async function measureSlopes(): Promise<gatewayMeasure.Line[]> {
-  const lines: gatewayMeasure.Line[] = [];
-  const idle = new Map<string, Idle>();
+/** Measures CPU time, memory and key-value calls of idle daemons, for more daemons, more engines and more teams. */
+export async function measureSlopes(): Promise<gatewayMeasure.TableRow[]> {
+  const rows: gatewayMeasure.TableRow[] = [];
+  const idle = new Map<string, IdleCost>();
   for (const [name, daemons, engines, teams] of [
     ["3 daemons, 2 engines, 1 team", 3, 2, 0],
     ["9 daemons, 2 engines, 1 team", 9, 2, 0],
     ["3 daemons, 32 engines, 1 team", 3, 32, 0],
     ["3 daemons, 2 engines, 401 teams", 3, 2, 400],
   ] as const) {
-    const found = await measureIdle(daemons, engines, teams);
-    idle.set(name, found);
-    lines.push({
+    const cost = await measureIdle(daemons, engines, teams);
+    idle.set(name, cost);
+    rows.push({
       measure: `idle: ${name}`,
-      "core % a daemon": found.corePercent.toFixed(2),
-      "MB a daemon": found.megabytes.toFixed(0),
-      "key-value calls/s, watches counted": found.callsPerSecond.toFixed(1),
+      "core % a daemon": cost.corePercent.toFixed(2),
+      "MB a daemon": cost.megabytes.toFixed(0),
+      "key-value calls/s, watches counted": cost.callsPerSecond.toFixed(1),
     });
   }
-  return lines;
+  return rows;
 }
 
-async function measureIdle(daemons: number, engines: number, teams: number): Promise<Idle> {
+async function measureIdle(daemons: number, engines: number, teams: number): Promise<IdleCost> {
   const fleet = new standIns.Fleet({ engines, services: 0, daemons });
   try {
     await fleet.start();
     for (let index = 0; index < teams; index++) await applyTeam(fleet, `team-${index}`);
     await new Promise((resolve) => setTimeout(resolve, WARM_UP_MS));
-    const [cpuBefore, callsBefore] = [await cpuSeconds(fleet), await calls(fleet)];
-    await new Promise((resolve) => setTimeout(resolve, IDLE_MS));
-    const [cpuAfter, callsAfter] = [await cpuSeconds(fleet), await calls(fleet)];
-    const seconds = IDLE_MS / 1000;
+    const [cpuBefore, callsBefore] = [await readCpuSeconds(fleet), await fetchCallCounts(fleet)];
+    await new Promise((resolve) => setTimeout(resolve, IDLE_MEASUREMENT_MS));
+    const [cpuAfter, callsAfter] = [await readCpuSeconds(fleet), await fetchCallCounts(fleet)];
+    const seconds = IDLE_MEASUREMENT_MS / 1000;
     return {
       corePercent: (100 * (cpuAfter - cpuBefore)) / seconds / daemons,
-      megabytes: (await residentMegabytes(fleet)) / daemons,
+      megabytes: (await readResidentMegabytes(fleet)) / daemons,
       callsPerSecond: (callsAfter.count - callsBefore.count) / seconds + callsAfter.watches,
     };
   } finally {
@@ -64,7 +65,7 @@
   });
 }
 
-async function cpuSeconds(fleet: standIns.Fleet): Promise<number> {
+async function readCpuSeconds(fleet: standIns.Fleet): Promise<number> {
   const used = fleet.daemons.map(async ({ child }) => {
     const fields = (await fs.readFile(`/proc/${child.pid}/stat`, "utf8")).split(") ")[1]?.split(" ") ?? [];
     return (Number(fields[11]) + Number(fields[12])) / CLOCK_TICKS_PER_SECOND;
@@ -72,7 +73,7 @@
   return (await Promise.all(used)).reduce((sum, seconds) => sum + seconds, 0);
 }
 
-async function residentMegabytes(fleet: standIns.Fleet): Promise<number> {
+async function readResidentMegabytes(fleet: standIns.Fleet): Promise<number> {
   const sizes = fleet.daemons.map(async ({ child }) => {
     const status = await fs.readFile(`/proc/${child.pid}/status`, "utf8");
     return Number(/VmRSS:\s+(\d+)/.exec(status)?.[1] ?? 0) / 1024;
@@ -80,22 +81,26 @@
   return (await Promise.all(sizes)).reduce((sum, size) => sum + size, 0);
 }
 
-async function calls(fleet: standIns.Fleet): Promise<{ count: number; watches: number }> {
+async function fetchCallCounts(fleet: standIns.Fleet): Promise<{ count: number; watches: number }> {
   const reply = await fetch(`${fleet.keyValueUrl}/calls`);
   const { waitingWatches = 0, ...counts } = (await reply.json()) as Record<string, number>;
   return { count: Object.values(counts).reduce((sum, count) => sum + count, 0), watches: waitingWatches };
 }
 
-/** @returns costs of the core by itself: a decision, a tick, a heartbeat, a team */
-export function measureCore(): gatewayMeasure.Line[] {
-  const lines: gatewayMeasure.Line[] = [];
+/**
+ * Measures the core without a daemon around it.
+ *
+ * @returns the cost of a request, a tick, a heartbeat and a team
+ */
+export function measureCore(): gatewayMeasure.TableRow[] {
+  const rows: gatewayMeasure.TableRow[] = [];
   for (const endpoints of [9, 150]) {
-    const target = coreWith(endpoints, 1);
-    const decision = timeOf(5000, (index) => {
+    const target = createCore(endpoints, 1);
+    const decision = measureMicroseconds(5000, (index) => {
       const at = 1000 + index;
       const id = `r-${index}`;
       const actions = target.handle(
-        { type: core.EventType.RequestArrived, request: requestOf(id) },
+        { type: core.EventType.RequestArrived, request: createRequest(id) },
         { now: at, wall: at },
       );
       const dispatch = actions.find((action) => action.type === core.ActionType.Dispatch);
@@ -103,11 +108,11 @@
       const { attempt } = dispatch;
       target.handle({ type: core.EventType.AnswerDone, request: id, attempt, outputTokens: 10 }, { now: at, wall: at });
     });
-    const tick = timeOf(500, (index) => {
+    const tick = measureMicroseconds(500, (index) => {
       target.handle({ type: core.EventType.Tick }, { now: 10_000 + index * 100, wall: 0 });
     });
     const heartbeat = JSON.stringify(target.heartbeat(10_000)).length;
-    lines.push({
+    rows.push({
       measure: `core: ${endpoints} engines`,
       "µs a request": decision.toFixed(1),
       "µs a tick": tick.toFixed(1),
@@ -116,18 +121,18 @@
   }
   for (const teams of [100, 1900]) {
     const before = process.memoryUsage().heapUsed;
-    const target = coreWith(3, teams);
+    const target = createCore(3, teams);
     const after = process.memoryUsage().heapUsed;
-    const tick = timeOf(50, (index) => {
+    const tick = measureMicroseconds(50, (index) => {
       target.handle({ type: core.EventType.Tick }, { now: 10_000 + index * 100, wall: 0 });
     });
     const kilobytes = ((after - before) / 1024 / teams).toFixed(1);
-    lines.push({ measure: `core: ${teams} teams of 3 engines`, "µs a tick": tick.toFixed(0), "KB a team": kilobytes });
+    rows.push({ measure: `core: ${teams} teams of 3 engines`, "µs a tick": tick.toFixed(0), "KB a team": kilobytes });
   }
-  return lines;
+  return rows;
 }
 
-function coreWith(endpoints: number, teams: number): core.Core {
+function createCore(endpoints: number, teams: number): core.Core {
   const registration = {
     vm: "vm-1",
     dataCentre: "a",
@@ -156,12 +161,12 @@
   return target;
 }
 
-function requestOf(id: string): core.RequestDescription {
+function createRequest(id: string): core.RequestDescription {
   return { id, team: "team-0", service: "team-0/assist", promptTokens: 500, maximumOutputTokens: 10 };
 }
 
-function timeOf(count: number, run: (index: number) => void): number {
-  // Without a gap after the warm-up: the core would take it for a pause and refuse.
+function measureMicroseconds(count: number, run: (index: number) => void): number {
+  // Run indexes (virtual times) continue from the warm-up: the core would treat a gap as a pause and refuse requests.
   const warmUp = Math.ceil(count / 2);
   for (let index = 0; index < warmUp; index++) run(index);
   const before = performance.now();
--- a/packages/measure/src/trace.ts
+++ b/packages/measure/src/trace.ts
@@ -6,12 +6,12 @@
 
 const kindSchema = zod.strictObject({
   name: zod.string(),
-  /** Requests a second at the beginning and at the end of the phase. */
+  /** Requests per second at the beginning and at the end of the phase; the rate changes linearly in between. */
   perSecond: zod.tuple([zod.number(), zod.number()]),
   promptTokens: zod.number(),
   maximumOutputTokens: zod.number(),
   deadlineMs: zod.number(),
-  /** How many different beginnings the prompts have; 0 for none in common. */
+  /** Number of different prefixes that the prompts share; 0 if they share none. */
   prefixes: zod.int().default(0),
 });
 
@@ -31,10 +31,10 @@
   events: zod.array(eventSchema).default([]),
 });
 
-/** A recorded mix of requests: phases of kinds, each with its rate and sizes. */
+/** Description of a request load: phases with kinds of requests, each with its rate and sizes. */
 export type Trace = zod.infer<typeof traceSchema>;
 
-/** One request of a trace. */
+/** One request that is generated from a trace. */
 export interface TraceRequest {
   readonly id: string;
   readonly atMs: number;
@@ -45,11 +45,14 @@
   readonly prefix?: string;
 }
 
+/** Sizes vary uniformly by this share around those of the kind. */
 const SIZE_SPREAD = 0.5;
-const SHORTEST_OUTPUT_SHARE = 0.6;
+/** Least actual output as a share of the maximum output. */
+const MIN_OUTPUT_SHARE = 0.6;
+/** Share of a prompt that the shared prefix makes up. */
 const PREFIX_SHARE = 0.6;
 
-/** @returns all traces that the project keeps */
+/** @returns all traces in the folder `traces`, in order of their file names */
 export function readTraces(): Trace[] {
   const folder = url.fileURLToPath(new URL("../../traces/", import.meta.url));
   const files = fs.readdirSync(folder).filter((file) => file.endsWith(".json"));
@@ -58,30 +61,33 @@
 
 /**
  * @param trace - the trace
- * @returns its length in milliseconds
+ * @returns its duration in milliseconds
  */
-export function lengthOf(trace: Trace): number {
+export function durationOf(trace: Trace): number {
   return trace.phases.reduce((sum, phase) => sum + phase.seconds * 1000, 0);
 }
 
 /**
+ * Generates the requests of a trace.
+ *
  * @param trace - the trace
- * @param seed - of arrivals and sizes
- * @returns its requests in order of arrival
+ * @param seed - random seed of arrivals and sizes
+ * @returns the requests in order of arrival
  */
-export function requestsOf(trace: Trace, seed: number): TraceRequest[] {
+export function generateRequests(trace: Trace, seed: number): TraceRequest[] {
   const random = new common.SeededRandom(seed);
   const requests: TraceRequest[] = [];
   let startMs = 0;
   for (const phase of trace.phases) {
     const lengthMs = phase.seconds * 1000;
-    for (const kind of phase.kinds) requests.push(...arrivals(kind, startMs, lengthMs, random));
+    for (const kind of phase.kinds) requests.push(...generateArrivals(kind, startMs, lengthMs, random));
     startMs += lengthMs;
   }
   return requests.sort((left, right) => left.atMs - right.atMs);
 }
 
-function arrivals(
+/** Draws arrivals of a Poisson process with a changing rate, by thinning one with the highest rate. */
+function generateArrivals(
   kind: zod.infer<typeof kindSchema>,
   startMs: number,
   lengthMs: number,
@@ -89,17 +95,17 @@
 ): TraceRequest[] {
   const [first, last] = kind.perSecond;
   const highest = Math.max(first, last);
-  const found: TraceRequest[] = [];
-  if (highest === 0) return found;
+  const requests: TraceRequest[] = [];
+  if (highest === 0) return requests;
   let at = random.exponential(1000 / highest);
   for (; at < lengthMs; at += random.exponential(1000 / highest)) {
     const rate = first + ((last - first) * at) / lengthMs;
     if (random.next() * highest > rate) continue;
     const spread = 1 + SIZE_SPREAD * (2 * random.next() - 1);
     const maximumOutputTokens = Math.max(1, Math.round(kind.maximumOutputTokens * spread));
-    const share = SHORTEST_OUTPUT_SHARE + (1 - SHORTEST_OUTPUT_SHARE) * random.next();
-    found.push({
-      id: `${kind.name}-${startMs}-${found.length}`,
+    const share = MIN_OUTPUT_SHARE + (1 - MIN_OUTPUT_SHARE) * random.next();
+    requests.push({
+      id: `${kind.name}-${startMs}-${requests.length}`,
       atMs: startMs + at,
       promptTokens: Math.round(kind.promptTokens * (1 + SIZE_SPREAD * (2 * random.next() - 1))),
       maximumOutputTokens,
@@ -108,13 +114,13 @@
       ...(kind.prefixes > 0 ? { prefix: `${kind.name}-${random.integer(kind.prefixes)}` } : {}),
     });
   }
-  return found;
+  return requests;
 }
 
 /**
  * @param request - a request
- * @returns tokens of the prompt's beginning that others share
+ * @returns the number of prompt tokens in the prefix that other requests share
  */
-export function prefixTokensOf(request: TraceRequest): number {
+export function sharedPrefixTokens(request: TraceRequest): number {
   return request.prefix === undefined ? 0 : Math.round(request.promptTokens * PREFIX_SHARE);
 }
