--- a/packages/daemon/src/bodyReader.ts
+++ b/packages/daemon/src/bodyReader.ts
@@ -2,15 +2,15 @@
 import * as common from "@camphorcourse/common";
 import * as neverthrow from "neverthrow";
 
-const READ_TIMEOUT_MS = 10_000;
+const BODY_TIMEOUT_MS = 10_000;
 
 /**
- * Reads a request's body without ever holding more than the limit, and without
- * waiting for a caller that sends slower than the time allows.
+ * Reads the body of a request. Buffers at most `limit` bytes and fails if the
+ * body takes longer than 10 s to arrive.
  *
  * @param incoming - the request
- * @param limit - largest size in bytes
- * @returns the body, or the problem to answer with
+ * @param limit - maximum size in bytes
+ * @returns the body, or a `BadRequest` or `BodyTooLarge` problem
  */
 export function readBody(
   incoming: http.IncomingMessage,
@@ -20,9 +20,9 @@
     const chunks: Buffer[] = [];
     let size = 0;
     const timer = setTimeout(() => {
-      settle(neverthrow.err(common.problem(common.ProblemKind.BadRequest, "the body took longer than 10 s to arrive")));
-    }, READ_TIMEOUT_MS);
-    const settle = (result: neverthrow.Result<Buffer, common.Problem>): void => {
+      finish(neverthrow.err(common.problem(common.ProblemKind.BadRequest, "the body took longer than 10 s to arrive")));
+    }, BODY_TIMEOUT_MS);
+    const finish = (result: neverthrow.Result<Buffer, common.Problem>): void => {
       clearTimeout(timer);
       incoming.removeAllListeners("data");
       if (result.isErr()) incoming.pause();
@@ -31,13 +31,17 @@
     incoming.on("data", (chunk: Buffer) => {
       size += chunk.length;
       if (size <= limit) chunks.push(chunk);
-      else settle(neverthrow.err(common.problem(common.ProblemKind.BodyTooLarge, `the body is over ${limit} bytes`)));
+      else finish(neverthrow.err(common.problem(common.ProblemKind.BodyTooLarge, `the body exceeds ${limit} bytes`)));
     });
     incoming.once("end", () => {
-      settle(neverthrow.ok(Buffer.concat(chunks)));
+      finish(neverthrow.ok(Buffer.concat(chunks)));
     });
     incoming.once("close", () => {
-      settle(neverthrow.err(common.problem(common.ProblemKind.BadRequest, "the body was cut off")));
+      finish(
+        neverthrow.err(
+          common.problem(common.ProblemKind.BadRequest, "the connection closed before the body was complete"),
+        ),
+      );
     });
   });
 }
--- a/packages/daemon/src/callerRequest.ts
+++ b/packages/daemon/src/callerRequest.ts
@@ -7,11 +7,11 @@
 
 const CHARACTERS_PER_TOKEN = 4;
 const DEFAULT_OUTPUT_TOKENS = 256;
-const LARGEST_OUTPUT_TOKENS = 1_000_000;
+const MAX_OUTPUT_TOKENS = 1_000_000;
 const PREFIX_CHARACTERS = 2048;
-const LONGEST_KEY = 255;
-/** Headers of a plain call that are passed on; the others are the connection's own business. */
-const PASSED_HEADERS = ["content-type", "accept", "accept-language", "idempotency-key"];
+const MAX_KEY_LENGTH = 255;
+/** Headers of a plain call that are forwarded to the endpoint; the others concern only the caller's connection. */
+const FORWARDED_HEADERS = ["content-type", "accept", "accept-language", "idempotency-key"];
 
 const messageSchema = zod.looseObject({ role: zod.string(), content: zod.string() });
 const modelRequestSchema = zod
@@ -19,16 +19,16 @@
     model: zod.string(),
     messages: zod.array(messageSchema).min(1).optional(),
     prompt: zod.string().optional(),
-    max_tokens: zod.int().positive().max(LARGEST_OUTPUT_TOKENS).optional(),
+    max_tokens: zod.int().positive().max(MAX_OUTPUT_TOKENS).optional(),
     stream: zod.boolean().optional(),
   })
-  .refine((body) => body.messages !== undefined || body.prompt !== undefined, "give 'messages' or 'prompt'");
+  .refine((body) => body.messages !== undefined || body.prompt !== undefined, "'messages' or 'prompt' is required");
 
 const headersSchema = zod.object({
   "idempotency-key": zod
     .string()
     .min(1)
-    .max(LONGEST_KEY)
+    .max(MAX_KEY_LENGTH)
     .regex(/^[\x21-\x7e]+$/, "use printable characters without spaces")
     .optional(),
   "x-request-timeout-ms": zod.coerce.number().int().min(1).max(600_000).optional(),
@@ -36,9 +36,9 @@
 });
 
 type ParsedHeaders = zod.infer<typeof headersSchema>;
-type Parsed<Value> = neverthrow.Result<Value, common.Problem>;
+type ParseResult<Value> = neverthrow.Result<Value, common.Problem>;
 
-/** What a request is made from. */
+/** An authenticated HTTP request before its headers and body are parsed. */
 export interface RawRequest {
   readonly id: string;
   readonly team: string;
@@ -49,56 +49,63 @@
 }
 
 /**
- * @param raw - a call of the completions API
- * @param tree - the configuration in force
- * @returns the request, or what is wrong with it
+ * Parses a call of the completions API.
+ *
+ * @param raw - the HTTP request
+ * @param tree - the current configuration
+ * @returns the request, or a `BadRequest` or `UnknownService` problem
  */
-export function parseModelRequest(raw: RawRequest, tree: core.ConfigurationTree): Parsed<callerExchange.CallerRequest> {
+export function parseModelRequest(
+  raw: RawRequest,
+  tree: core.ConfigurationTree,
+): ParseResult<callerExchange.CallerRequest> {
   return parseHeaders(raw.headers).andThen((headers) =>
     parseJson(raw.body).andThen((json) => {
       const parsed = modelRequestSchema.safeParse(json);
       if (!parsed.success) return neverthrow.err(badRequest(parsed.error));
       const service = findService(tree, raw.team, parsed.data.model);
       if (!service) return neverthrow.err(unknownService(parsed.data.model));
-      return neverthrow.ok(describeModelRequest(raw, headers, parsed.data, service));
+      return neverthrow.ok(createModelRequest(raw, headers, parsed.data, service));
     }),
   );
 }
 
 /**
- * @param raw - a call of a plain service
+ * Parses a call of a plain service.
+ *
+ * @param raw - the HTTP request
  * @param service - name of the service
- * @param path - path at the endpoint
- * @param tree - the configuration in force
- * @returns the request, or what is wrong with it
+ * @param path - path and query at the endpoint
+ * @param tree - the current configuration
+ * @returns the request, or a `BadRequest` or `UnknownService` problem
  */
 export function parsePlainRequest(
   raw: RawRequest,
   service: string,
   path: string,
   tree: core.ConfigurationTree,
-): Parsed<callerExchange.CallerRequest> {
+): ParseResult<callerExchange.CallerRequest> {
   return parseHeaders(raw.headers).andThen((headers) => {
     const entry = tree.service(core.serviceId(raw.team, service));
     if (entry?.settings.kind !== core.ServiceKind.Plain) return neverthrow.err(unknownService(service));
-    const description = describe(raw, headers, entry, path, 0, 0);
-    const form = callerExchange.AnswerForm.Plain;
-    const passed = PASSED_HEADERS.flatMap((name) => {
+    const description = createDescription(raw, headers, entry, path, 0, 0);
+    const format = callerExchange.ResponseFormat.Plain;
+    const forwarded = FORWARDED_HEADERS.flatMap((name) => {
       const value = raw.headers[name];
       return typeof value === "string" ? [[name, value] as const] : [];
     });
     return neverthrow.ok({
       description,
-      form,
+      format,
       method: raw.method,
       path,
-      headers: Object.fromEntries(passed),
+      headers: Object.fromEntries(forwarded),
       body: raw.body,
     });
   });
 }
 
-function describeModelRequest(
+function createModelRequest(
   raw: RawRequest,
   headers: ParsedHeaders,
   body: zod.infer<typeof modelRequestSchema>,
@@ -107,12 +114,12 @@
   const prompt = body.prompt ?? (body.messages ?? []).map((message) => message.content).join("\n");
   const promptTokens = Math.max(1, Math.ceil(prompt.length / CHARACTERS_PER_TOKEN));
   const outputTokens = body.max_tokens ?? DEFAULT_OUTPUT_TOKENS;
-  const description = describe(raw, headers, service, raw.path, promptTokens, outputTokens);
+  const description = createDescription(raw, headers, service, raw.path, promptTokens, outputTokens);
   const prefix =
     prompt.length > PREFIX_CHARACTERS ? String(common.hash32(prompt.slice(0, PREFIX_CHARACTERS))) : undefined;
   return {
     description: prefix === undefined ? description : { ...description, prefix },
-    form: body.stream ? callerExchange.AnswerForm.Stream : callerExchange.AnswerForm.Document,
+    format: body.stream ? callerExchange.ResponseFormat.Stream : callerExchange.ResponseFormat.Document,
     method: raw.method,
     path: raw.path,
     headers: {},
@@ -121,7 +128,7 @@
   };
 }
 
-function describe(
+function createDescription(
   raw: RawRequest,
   headers: ParsedHeaders,
   service: core.ServiceEntry,
@@ -144,29 +151,29 @@
   };
 }
 
-/** A caller may name the service itself or the model that it serves. */
+/** Finds a model service by its own name or by the name of its model. */
 function findService(tree: core.ConfigurationTree, team: string, name: string): core.ServiceEntry | undefined {
-  const direct = tree.service(core.serviceId(team, name));
-  if (direct?.settings.kind === core.ServiceKind.Engine) return direct;
+  const byName = tree.service(core.serviceId(team, name));
+  if (byName?.settings.kind === core.ServiceKind.Engine) return byName;
   return tree.services().find((service) => service.team === team && service.settings.model === name);
 }
 
-function parseHeaders(headers: http.IncomingHttpHeaders): Parsed<ParsedHeaders> {
+function parseHeaders(headers: http.IncomingHttpHeaders): ParseResult<ParsedHeaders> {
   const parsed = headersSchema.safeParse(headers);
   return parsed.success ? neverthrow.ok(parsed.data) : neverthrow.err(badRequest(parsed.error));
 }
 
-function parseJson(body: Buffer): Parsed<unknown> {
+function parseJson(body: Buffer): ParseResult<unknown> {
   const parse = neverthrow.fromThrowable(
     () => JSON.parse(body.toString("utf8")) as unknown,
-    () => common.problem(common.ProblemKind.BadRequest, "the body is not JSON"),
+    () => common.problem(common.ProblemKind.BadRequest, "the body is not valid JSON"),
   );
   return parse();
 }
 
 function badRequest(error: zod.ZodError): common.Problem {
-  const faults = error.issues.map((issue) => `${issue.path.join(".") || "body"}: ${issue.message}`);
-  return common.problem(common.ProblemKind.BadRequest, faults.join("; "));
+  const errors = error.issues.map((issue) => `${issue.path.join(".") || "body"}: ${issue.message}`);
+  return common.problem(common.ProblemKind.BadRequest, errors.join("; "));
 }
 
 function unknownService(name: string): common.Problem {
--- a/packages/daemon/src/callerServer.ts
+++ b/packages/daemon/src/callerServer.ts
@@ -1,11 +1,11 @@
 import type * as http from "node:http";
 import * as nodeServer from "@hono/node-server";
-import * as sent from "@hono/node-server/utils/response";
+import * as nodeResponse from "@hono/node-server/utils/response";
 import * as common from "@camphorcourse/common";
 import * as core from "@camphorcourse/core";
 import * as endpoints from "@camphorcourse/endpoints";
 import * as hono from "hono";
-import * as authority from "./authority.js";
+import * as authenticator from "./authenticator.js";
 import * as bodyReader from "./bodyReader.js";
 import * as callerExchange from "./callerExchange.js";
 import * as callerRequest from "./callerRequest.js";
@@ -16,37 +16,37 @@
 }
 
 type Context = hono.Context<Environment>;
-type Parse = (raw: callerRequest.RawRequest) => ReturnType<typeof callerRequest.parseModelRequest>;
+type RequestParser = (raw: callerRequest.RawRequest) => ReturnType<typeof callerRequest.parseModelRequest>;
 
 const EVENT_ID = /^([a-z0-9-]+\/[a-z0-9-]+)\/([0-9a-f]{32})\/(\d{1,7})$/;
 
-/** The API for callers: OpenAI-compatible completions, plain services, and which VM to use. */
+/** HTTP server for callers: OpenAI-compatible completions, plain services, and the addresses of the VMs to call. */
 export class CallerServer {
   readonly app = new hono.Hono<Environment>();
   readonly #daemon: daemon.Daemon;
-  readonly #authority: authority.Authority;
+  readonly #authenticator: authenticator.Authenticator;
 
   /** @param owner - the daemon */
   constructor(owner: daemon.Daemon) {
     this.#daemon = owner;
-    this.#authority = new authority.Authority(owner.settings.operatorTokenDigest, owner.core.tree);
+    this.#authenticator = new authenticator.Authenticator(owner.settings.operatorTokenDigest, owner.core.tree);
     this.app.get("/healthz", (context) => context.json({ ok: true }));
-    this.app.get("/readyz", (context) => this.#ready(context));
+    this.app.get("/readyz", (context) => this.#readiness(context));
     this.app.get("/metrics", (context) => context.text(this.#metrics()));
     this.app.get("/v1/addresses", (context) => this.#addresses(context));
     this.app.get("/v1/models", (context) => this.#models(context));
     this.app.get("/v1/streams/resume", (context) => this.#resume(context));
-    this.app.post("/v1/chat/completions", (context) => this.#model(context));
-    this.app.post("/v1/completions", (context) => this.#model(context));
-    this.app.all("/v1/services/:service/*", (context) => this.#plain(context));
+    this.app.post("/v1/chat/completions", (context) => this.#completion(context));
+    this.app.post("/v1/completions", (context) => this.#completion(context));
+    this.app.all("/v1/services/:service/*", (context) => this.#callService(context));
     this.app.notFound((context) => this.#notFound(context));
   }
 
-  async #model(context: Context): Promise<Response> {
+  async #completion(context: Context): Promise<Response> {
     return this.#serve(context, (raw) => callerRequest.parseModelRequest(raw, this.#daemon.core.tree));
   }
 
-  async #plain(context: Context): Promise<Response> {
+  async #callService(context: Context): Promise<Response> {
     const service = context.req.param("service") ?? "";
     const rest = context.req.path.slice(`/v1/services/${service}`.length);
     const query = new URL(context.req.url).search;
@@ -55,54 +55,57 @@
     );
   }
 
-  async #serve(context: Context, parse: Parse): Promise<Response> {
+  async #serve(context: Context, parse: RequestParser): Promise<Response> {
     const { incoming } = context.env;
     const outgoing = context.env.outgoing as http.ServerResponse;
     const id = this.#daemon.newRequestId();
-    const refusal = this.#daemon.core.refusal(this.#daemon.clock.now());
-    if (refusal) return this.#refuse(context, refusal, id);
-    const caller = this.#authority.identify(context.req.header("authorization"));
-    if (caller.isErr()) return this.#refuse(context, caller.error, id);
-    if (caller.value.kind === "operator") return this.#refuse(context, operatorCalls(), id);
+    const problem = this.#daemon.core.refusal(this.#daemon.clock.now());
+    if (problem) return this.#problemResponse(context, problem, id);
+    const caller = this.#authenticator.authenticate(context.req.header("authorization"));
+    if (caller.isErr()) return this.#problemResponse(context, caller.error, id);
+    if (caller.value.kind === "operator") return this.#problemResponse(context, operatorNotAllowed(), id);
     const body = await bodyReader.readBody(incoming, this.#daemon.settings.bodyLimit);
-    if (body.isErr()) return this.#refuse(context, body.error, id);
+    if (body.isErr()) return this.#problemResponse(context, body.error, id);
     const { team } = caller.value;
     const { path, method } = context.req;
     const parsed = parse({ id, team, method, path, headers: incoming.headers, body: body.value });
-    if (parsed.isErr()) return this.#refuse(context, parsed.error, id);
+    if (parsed.isErr()) return this.#problemResponse(context, parsed.error, id);
     const arrivedAt = this.#daemon.clock.now();
     const isLeaving = (): boolean => this.#daemon.core.registration.leaving;
     const exchange = new callerExchange.CallerExchange(parsed.value, outgoing, arrivedAt, isLeaving);
     outgoing.once("close", () => {
-      if (!outgoing.writableFinished) this.#daemon.onCallerGone(id);
+      if (!outgoing.writableFinished) this.#daemon.onCallerDisconnected(id);
     });
     this.#daemon.accept(exchange);
-    return sent.RESPONSE_ALREADY_SENT;
+    return nodeResponse.RESPONSE_ALREADY_SENT;
   }
 
-  /** A caller takes a stream up by its last event id, whichever daemon began it. */
+  /** Resumes a stream after the caller's last event id, even if another daemon began it. */
   async #resume(context: Context): Promise<Response> {
-    const caller = this.#authority.identify(context.req.header("authorization"));
-    if (caller.isErr()) return this.#refuse(context, caller.error);
+    const caller = this.#authenticator.authenticate(context.req.header("authorization"));
+    if (caller.isErr()) return this.#problemResponse(context, caller.error);
     const match = EVENT_ID.exec(context.req.header("last-event-id") ?? "");
     const [, endpointId = "", attempt = "", index = "0"] = match ?? [];
     if (!match) {
-      const detail = "Last-Event-ID is not one that a stream of ours carried";
-      return this.#refuse(context, common.problem(common.ProblemKind.BadRequest, detail));
+      const detail = "Last-Event-ID is not an event id of this service";
+      return this.#problemResponse(context, common.problem(common.ProblemKind.BadRequest, detail));
     }
     const endpoint = this.#daemon.core.tree.endpoint(endpointId);
-    if (!endpoint) return this.#refuse(context, unknownEndpoint(endpointId));
+    if (!endpoint) return this.#problemResponse(context, unknownEndpoint(endpointId));
     if (caller.value.kind === "team" && caller.value.team !== endpoint.team) {
-      return this.#refuse(context, common.problem(common.ProblemKind.Forbidden, "the stream belongs to another team"));
+      return this.#problemResponse(
+        context,
+        common.problem(common.ProblemKind.Forbidden, "the stream belongs to another team"),
+      );
     }
     const outgoing = context.env.outgoing as http.ServerResponse;
-    void this.#daemon.duringResume(endpointId, () =>
-      this.#readOn(outgoing, { endpointId, attempt, from: Number(index) + 1, url: endpoint.settings.url }),
+    void this.#daemon.trackResume(endpointId, () =>
+      this.#forwardResumed(outgoing, { endpointId, attempt, from: Number(index) + 1, url: endpoint.settings.url }),
     );
-    return sent.RESPONSE_ALREADY_SENT;
+    return nodeResponse.RESPONSE_ALREADY_SENT;
   }
 
-  async #readOn(
+  async #forwardResumed(
     outgoing: http.ServerResponse,
     stream: { endpointId: string; attempt: string; from: number; url: string },
   ): Promise<void> {
@@ -111,24 +114,24 @@
       abort.abort();
     });
     const assembly = new core.StreamAssembly();
-    const onPiece = (piece: endpoints.StreamPiece): boolean => {
+    const onChunk = (chunk: endpoints.StreamPiece): boolean => {
       if (!outgoing.headersSent) outgoing.writeHead(200, { "content-type": "text/event-stream" });
-      const step = assembly.onPiece(piece.index - stream.from, piece.content);
+      const step = assembly.onPiece(chunk.index - stream.from, chunk.content);
       if (step !== core.StreamStep.Forward) return step === core.StreamStep.Skip;
-      outgoing.write(`id: ${stream.endpointId}/${stream.attempt}/${piece.index}\ndata: ${piece.data}\n\n`);
+      outgoing.write(`id: ${stream.endpointId}/${stream.attempt}/${chunk.index}\ndata: ${chunk.data}\n\n`);
       return true;
     };
     const engine = this.#daemon.dispatcher.engine(stream.url);
     let end: endpoints.StreamEnd;
     do {
-      end = await engine.resume(stream.attempt, stream.from + assembly.nextIndex, onPiece, abort.signal);
+      end = await engine.resume(stream.attempt, stream.from + assembly.nextIndex, onChunk, abort.signal);
     } while (end === endpoints.StreamEnd.Broken && assembly.onBroken() === core.StreamStep.Resume);
     if (end === endpoints.StreamEnd.Marker) {
       if (!outgoing.headersSent) outgoing.writeHead(200, { "content-type": "text/event-stream" });
       outgoing.end("data: [DONE]\n\n");
       return;
     }
-    const detail = "the endpoint no longer has the stream";
+    const detail = "the endpoint can't resume the stream";
     this.#writeProblem(
       outgoing,
       common.problem(common.ProblemKind.Interrupted, detail, { outcome: common.Outcome.Unknown }),
@@ -146,13 +149,16 @@
     outgoing.end(body);
   }
 
-  #ready(context: Context): Response {
-    const refusal = this.#daemon.core.refusal(this.#daemon.clock.now());
-    if (refusal) return this.#refuse(context, refusal);
+  #readiness(context: Context): Response {
+    const problem = this.#daemon.core.refusal(this.#daemon.clock.now());
+    if (problem) return this.#problemResponse(context, problem);
     return context.json({ ready: true, leaving: this.#daemon.core.registration.leaving });
   }
 
-  /** The VMs to use, the caller's data centre first, the rest in an order of its own for each service. */
+  /**
+   * Lists the VMs to call, those of the caller's data centre first. Rendezvous hashing over
+   * service and caller address orders them, which spreads callers over the VMs.
+   */
   #addresses(context: Context): Response {
     const service = context.req.query("service") ?? "";
     const dataCentre = context.req.query("dataCentre") ?? this.#daemon.settings.dataCentre;
@@ -172,8 +178,8 @@
   }
 
   #models(context: Context): Response {
-    const caller = this.#authority.identify(context.req.header("authorization"));
-    if (caller.isErr()) return this.#refuse(context, caller.error);
+    const caller = this.#authenticator.authenticate(context.req.header("authorization"));
+    if (caller.isErr()) return this.#problemResponse(context, caller.error);
     const { value } = caller;
     const services = this.#daemon.core.tree
       .services()
@@ -184,36 +190,36 @@
   }
 
   #metrics(): string {
-    const { core: decisions } = this.#daemon;
+    const { core: daemonCore } = this.#daemon;
     return this.#daemon.metrics.text({
       open_exchanges: this.#daemon.openExchanges,
-      live_requests: decisions.requestDesk.size,
-      applied_revision: decisions.appliedRevision,
+      live_requests: daemonCore.requestDesk.size,
+      applied_revision: daemonCore.appliedRevision,
       resident_bytes: process.memoryUsage.rss(),
       processor_microseconds: process.cpuUsage().user + process.cpuUsage().system,
     });
   }
 
   #notFound(context: Context): Response {
-    const detail = `there is no path ${context.req.path}`;
-    return this.#refuse(context, common.problem(common.ProblemKind.BadRequest, detail));
+    const detail = `unknown path ${context.req.path}`;
+    return this.#problemResponse(context, common.problem(common.ProblemKind.BadRequest, detail));
   }
 
-  #refuse(context: Context, problem: common.Problem, id?: string): Response {
+  #problemResponse(context: Context, problem: common.Problem, id?: string): Response {
     this.#daemon.metrics.count(`refused_${problem.kind.replaceAll("-", "_")}_total`);
     const headers = new Headers(callerExchange.problemHeaders(problem));
     headers.set("content-type", "application/problem+json");
-    // The rest of a body that was not read would be taken for the next request.
+    // Unread bytes of the body would be parsed as the next request on this connection.
     if (!context.env.incoming.readableEnded) headers.set("connection", "close");
     const body = JSON.stringify(callerExchange.problemDocument(problem, id));
     return new Response(body, { status: problem.status, headers });
   }
 }
 
-function operatorCalls(): common.Problem {
-  return common.problem(common.ProblemKind.Forbidden, "the platform operator's token serves no requests");
+function operatorNotAllowed(): common.Problem {
+  return common.problem(common.ProblemKind.Forbidden, "the platform operator's token can't be used to send requests");
 }
 
 function unknownEndpoint(endpoint: string): common.Problem {
-  return common.problem(common.ProblemKind.UnknownEndpoint, `there is no endpoint '${endpoint}'`);
+  return common.problem(common.ProblemKind.UnknownEndpoint, `unknown endpoint '${endpoint}'`);
 }
--- a/packages/daemon/src/configurationWriter.ts
+++ b/packages/daemon/src/configurationWriter.ts
@@ -4,39 +4,39 @@
 import * as neverthrow from "neverthrow";
 import type * as daemon from "./daemon.js";
 
-/** A change of a team's document as an operator asks for it. */
+/** An operator's change to the configuration document of a team. */
 export interface ConfigurationChange {
   readonly team: string;
   readonly text: string;
-  /** The version that the operator read; 0 for a new team. */
+  /** The version on which the change is based; 0 for a new team. */
   readonly expectedVersion: number;
   readonly author: string;
 }
 
-/** A change that was accepted. */
+/** Version and revision of an accepted change. */
 export interface AcceptedChange {
   readonly version: number;
   readonly revision: number;
 }
 
-/** Where a revision is in force. */
+/** VMs whose daemons have applied a revision, and VMs whose daemons aren't known to have. */
 export interface InForce {
   readonly inForce: string[];
   readonly pending: string[];
 }
 
-type Written<Value> = Promise<neverthrow.Result<Value, common.Problem>>;
+type AsyncResult<Value> = Promise<neverthrow.Result<Value, common.Problem>>;
 
 const HISTORY_PREFIX = "camphorcourse/history/";
-const HISTORY_KEPT = 20;
+const MAX_HISTORY_VERSIONS = 20;
 const VERSION_DIGITS = 9;
-const RETRY_MS = 2000;
-const WRITE_RETRIES = 1;
+const RETRY_AFTER_MS = 2000;
+const MAX_WRITE_RETRIES = 1;
 
-/** Writes team documents, and tells where a change is in force. */
+/** Writes team documents, and reports which daemons have applied a change. */
 export class ConfigurationWriter {
   readonly #daemon: daemon.Daemon;
-  readonly #pushed = new Map<number, Set<string>>();
+  readonly #pushedTo = new Map<number, Set<string>>();
 
   /** @param owner - the daemon */
   constructor(owner: daemon.Daemon) {
@@ -44,20 +44,20 @@
   }
 
   /**
-   * Checks a document whole and accepts it by compare-and-swap on the version
-   * that the operator read. Accepted means written; the peers are then told
-   * directly, so that an outage of the service just afterwards delays nothing.
+   * Validates a document and stores it by compare-and-swap on the expected
+   * version. A stored document is also pushed to the peers directly, so that an
+   * outage of the key-value service right after the write doesn't delay it.
    *
    * @param change - the change
-   * @returns the version, or a conflict that shows both sides
+   * @returns the new version, or a problem; a conflict shows both documents
    */
-  async apply(change: ConfigurationChange): Written<AcceptedChange> {
+  async apply(change: ConfigurationChange): AsyncResult<AcceptedChange> {
     const checked = core.parseTeamDocument(change.text, change.team);
     if (checked.isErr()) return neverthrow.err(checked.error);
-    const present = await this.#read(change.team);
-    if (present.isErr()) return neverthrow.err(present.error);
-    const { version, revision } = present.value;
-    if (version !== change.expectedVersion) return neverthrow.err(conflict(change, present.value));
+    const stored = await this.#read(change.team);
+    if (stored.isErr()) return neverthrow.err(stored.error);
+    const { version, revision } = stored.value;
+    if (version !== change.expectedVersion) return neverthrow.err(conflict(change, stored.value));
     const record: core.TeamRecord = {
       text: change.text,
       version: version + 1,
@@ -71,32 +71,38 @@
   }
 
   /**
+   * Reads the current document of a team.
+   *
    * @param team - the team
-   * @returns its record as it stands in the key-value service
+   * @returns its record in the key-value service
    */
-  async current(team: string): Written<core.TeamRecord & { revision: number }> {
-    return (await this.#read(team)).andThen((present) => {
-      if (present.record) return neverthrow.ok({ ...present.record, revision: present.revision });
-      return neverthrow.err(common.problem(common.ProblemKind.UnknownService, `there is no team '${team}'`));
+  async current(team: string): AsyncResult<core.TeamRecord & { revision: number }> {
+    return (await this.#read(team)).andThen((stored) => {
+      if (stored.record) return neverthrow.ok({ ...stored.record, revision: stored.revision });
+      return neverthrow.err(common.problem(common.ProblemKind.UnknownService, `unknown team '${team}'`));
     });
   }
 
   /**
+   * Reads the version history of a team's document.
+   *
    * @param team - the team
-   * @returns its former records, oldest first
+   * @returns its stored versions, oldest first
    */
-  async history(team: string): Written<core.TeamRecord[]> {
+  async history(team: string): AsyncResult<core.TeamRecord[]> {
     const records = await this.#daemon.keyValue.read(`${HISTORY_PREFIX}${team}/`);
     if (!records) return neverthrow.err(unavailable());
     return neverthrow.ok(records.map((record) => JSON.parse(record.value) as core.TeamRecord));
   }
 
   /**
-   * @param revision - of an accepted change
-   * @returns the daemons that have it in force, and those not known to
+   * Reports which daemons have applied an accepted change.
+   *
+   * @param revision - of the accepted change
+   * @returns the VMs that have applied it, and those not known to have
    */
   whereInForce(revision: number): InForce {
-    const pushed = this.#pushed.get(revision) ?? new Set<string>();
+    const pushed = this.#pushedTo.get(revision) ?? new Set<string>();
     const inForce = [this.#daemon.settings.vm];
     const pending: string[] = [];
     for (const peer of this.#daemon.core.roster.peers()) {
@@ -111,41 +117,41 @@
     change: ConfigurationChange,
     record: core.TeamRecord,
     revision: number,
-    triesLeft = WRITE_RETRIES,
-  ): Written<AcceptedChange> {
+    retriesLeft = MAX_WRITE_RETRIES,
+  ): AsyncResult<AcceptedChange> {
     const key = core.controlKey(core.ControlKind.Team, change.team);
     const value = JSON.stringify(record);
-    const dropped = record.version - HISTORY_KEPT;
+    const expiredVersion = record.version - MAX_HISTORY_VERSIONS;
     const result = await this.#daemon.keyValue.write({
       conditions: [{ key, kind: core.RevisionKind.Modified, revision }],
       puts: [
         { key, value },
         { key: historyKey(change.team, record.version), value },
       ],
-      ...(dropped > 0 ? { deletes: [{ key: historyKey(change.team, dropped) }] } : {}),
+      ...(expiredVersion > 0 ? { deletes: [{ key: historyKey(change.team, expiredVersion) }] } : {}),
     });
     if (result.outcome === core.TransactionOutcome.Applied) {
       return neverthrow.ok({ version: record.version, revision: result.revision });
     }
     if (result.outcome === core.TransactionOutcome.NotSent) return neverthrow.err(unavailable());
-    const settled = await this.#settle(change, record);
-    const undone = settled.isErr() && settled.error.outcome === common.Outcome.Unknown;
-    if (!undone || triesLeft === 0) return settled;
-    // Nothing stands yet. Writing again under the same condition is safe: if the
-    // first write still arrives, only one of the two can take effect.
-    return this.#write(change, record, revision, triesLeft - 1);
+    const resolved = await this.#resolveOutcome(change, record);
+    const isUndecided = resolved.isErr() && resolved.error.outcome === common.Outcome.Unknown;
+    if (!isUndecided || retriesLeft === 0) return resolved;
+    // The change isn't stored, or can't be read. Writing again under the same condition
+    // is safe: if the first write still arrives, only one of the two can take effect.
+    return this.#write(change, record, revision, retriesLeft - 1);
   }
 
-  /** The write was refused or its reply was lost: the record itself tells whose change stands. */
-  async #settle(change: ConfigurationChange, record: core.TeamRecord): Written<AcceptedChange> {
-    const present = await this.#read(change.team);
-    if (present.isErr()) return neverthrow.err(undecided(change));
-    const standing = present.value;
-    if (standing.record?.attempt === record.attempt) {
-      return neverthrow.ok({ version: record.version, revision: standing.revision });
+  /** After a refused write or a lost reply, reads the record back to see whose change is stored. */
+  async #resolveOutcome(change: ConfigurationChange, record: core.TeamRecord): AsyncResult<AcceptedChange> {
+    const reread = await this.#read(change.team);
+    if (reread.isErr()) return neverthrow.err(outcomeUnknown(change));
+    const stored = reread.value;
+    if (stored.record?.attempt === record.attempt) {
+      return neverthrow.ok({ version: record.version, revision: stored.revision });
     }
-    if (standing.version <= change.expectedVersion) return neverthrow.err(undecided(change));
-    return neverthrow.err(conflict(change, standing));
+    if (stored.version <= change.expectedVersion) return neverthrow.err(outcomeUnknown(change));
+    return neverthrow.err(conflict(change, stored));
   }
 
   #push(team: string, record: core.TeamRecord, revision: number): void {
@@ -157,18 +163,18 @@
       modRevision: revision,
     };
     this.#daemon.handle({ type: core.EventType.ControlChanges, records: [pushed] });
-    const reached = new Set<string>();
-    this.#pushed.set(revision, reached);
-    const oldest = this.#pushed.keys().next().value;
-    if (this.#pushed.size > HISTORY_KEPT && oldest !== undefined) this.#pushed.delete(oldest);
+    const confirmed = new Set<string>();
+    this.#pushedTo.set(revision, confirmed);
+    const oldest = this.#pushedTo.keys().next().value;
+    if (this.#pushedTo.size > MAX_HISTORY_VERSIONS && oldest !== undefined) this.#pushedTo.delete(oldest);
     for (const { registration } of this.#daemon.core.roster.peers()) {
-      void this.#daemon.peerCalls.pushRecords(registration.peerUrl, [pushed], 0).then((taken) => {
-        if (taken) reached.add(registration.vm);
+      void this.#daemon.peerCalls.pushRecords(registration.peerUrl, [pushed], 0).then((accepted) => {
+        if (accepted) confirmed.add(registration.vm);
       });
     }
   }
 
-  async #read(team: string): Written<StandingTeam> {
+  async #read(team: string): AsyncResult<StoredTeam> {
     const key = core.controlKey(core.ControlKind.Team, team);
     const records = await this.#daemon.keyValue.read(key);
     if (!records) return neverthrow.err(unavailable());
@@ -182,7 +188,7 @@
   }
 }
 
-interface StandingTeam {
+interface StoredTeam {
   readonly record?: core.TeamRecord;
   readonly version: number;
   readonly revision: number;
@@ -192,27 +198,27 @@
   return `${HISTORY_PREFIX}${team}/${String(version).padStart(VERSION_DIGITS, "0")}`;
 }
 
-function conflict(change: ConfigurationChange, standing: StandingTeam): common.Problem {
-  const author = standing.record?.author ?? "nobody";
+function conflict(change: ConfigurationChange, stored: StoredTeam): common.Problem {
+  const author = stored.record?.author ?? "nobody";
   const detail =
-    `your change is based on version ${change.expectedVersion}, but version ${standing.version} by '${author}' stands; ` +
-    `theirs:\n${standing.record?.text ?? ""}\nyours:\n${change.text}`;
+    `your change is based on version ${change.expectedVersion}, but version ${stored.version} by '${author}' is stored; ` +
+    `theirs:\n${stored.record?.text ?? ""}\nyours:\n${change.text}`;
   return common.problem(common.ProblemKind.Conflict, detail);
 }
 
 function unavailable(): common.Problem {
-  const detail = "the key-value service can't be reached; nothing was changed";
+  const detail = "the key-value service is unreachable; nothing was changed";
   return common.problem(common.ProblemKind.KeyValueUnavailable, detail, {
-    retryAfterMs: RETRY_MS,
+    retryAfterMs: RETRY_AFTER_MS,
     remedy: "apply again once the key-value service answers",
   });
 }
 
-function undecided(change: ConfigurationChange): common.Problem {
-  const detail = `the reply to the write of ${change.team} was lost and can't be read back now; the change may stand`;
+function outcomeUnknown(change: ConfigurationChange): common.Problem {
+  const detail = `the reply to the write of ${change.team} was lost and can't be read back; the change may have been stored`;
   return common.problem(common.ProblemKind.KeyValueUnavailable, detail, {
     outcome: common.Outcome.Unknown,
-    retryAfterMs: RETRY_MS,
+    retryAfterMs: RETRY_AFTER_MS,
     remedy: "run 'camphorcourse config get' once the key-value service answers",
   });
 }
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -1,11 +1,11 @@
 import * as crypto from "node:crypto";
 import * as common from "@camphorcourse/common";
 import * as core from "@camphorcourse/core";
-import * as platform from "@camphorcourse/fleet-state";
+import * as fleetState from "@camphorcourse/fleet-state";
 import * as endpoints from "@camphorcourse/endpoints";
 import type * as callerExchange from "./callerExchange.js";
 import * as dispatcher from "./dispatcher.js";
-import * as keyValueShell from "./keyValueShell.js";
+import * as keyValueAdapter from "./keyValueAdapter.js";
 import * as logger from "./logger.js";
 import * as metrics from "./metrics.js";
 import * as peerCalls from "./peerCalls.js";
@@ -13,21 +13,21 @@
 import type * as settingsModule from "./settings.js";
 
 const TICK_MS = 100;
-const CLAIM_WAKE_MS = 5;
+const CLAIM_BATCH_DELAY_MS = 5;
 const LOAD_POLL_MS = 1000;
 const VM_LIST_POLL_MS = 2000;
 const CALLER_KEEP_ALIVE_MS = 1000;
-const STOP_POLL_MS = 100;
+const DRAIN_POLL_MS = 100;
 
-/** The ports that the servers came to listen on. */
+/** The ports on which the servers listen. */
 export interface ListenPorts {
   readonly caller: number;
   readonly peer: number;
   readonly admin: number;
 }
 
-/** A join that another daemon waits for. */
-export interface JoinQuestion {
+/** Another daemon's request to wait for the answer of an attempt that runs here. */
+export interface JoinRequest {
   readonly key: string;
   readonly digest: string;
   readonly incarnation: string;
@@ -35,40 +35,40 @@
   readonly asker: core.AttemptOwner;
 }
 
-/** How a join ended. */
-export interface JoinReply {
+/** Result of a join. */
+export interface JoinResult {
   readonly verdict: core.JoinVerdict;
   readonly answer?: core.KeptAnswer;
   readonly movedTo?: core.AttemptOwner;
 }
 
-/** The shell round the core: turns sockets and timers into events, and actions into calls. */
+/** Runs the core: turns network input and timers into its events, and executes its actions as calls. */
 export class Daemon {
   readonly settings: settingsModule.Settings;
   readonly core: core.Core;
   readonly timeline: core.Timeline;
   readonly metrics = new metrics.Metrics();
   readonly peers = new peerClients.PeerClients();
-  readonly keyValue: keyValueShell.KeyValueShell;
+  readonly keyValue: keyValueAdapter.KeyValueAdapter;
   readonly log: logger.Logger;
   readonly clock: common.Clock = new common.SystemClock();
   readonly dispatcher: dispatcher.Dispatcher;
   readonly peerCalls: peerCalls.PeerCalls;
   readonly #random: common.SeededRandom;
   readonly #hybrid: common.HybridClock;
-  readonly #vmList: platform.VmListClient;
-  readonly #orders = new endpoints.OrderSender();
+  readonly #vmList: fleetState.VmListClient;
+  readonly #orderSender = new endpoints.OrderSender();
   readonly #exchanges = new Map<string, callerExchange.CallerExchange>();
-  readonly #claimWaiters = new Map<string, (answer: core.ClaimAnswer) => void>();
-  readonly #joinWaiters = new Map<string, (reply: JoinReply) => void>();
+  readonly #pendingClaims = new Map<string, (answer: core.ClaimAnswer) => void>();
+  readonly #pendingJoins = new Map<string, (reply: JoinResult) => void>();
   readonly #timers: NodeJS.Timeout[] = [];
   readonly #openResumes = new Set<string>();
   #claimTimer: NodeJS.Timeout | undefined;
 
   /**
-   * @param settings - checked settings
-   * @param ports - on which the daemon listens
-   * @param write - takes log lines
+   * @param settings - validated settings
+   * @param ports - ports on which the daemon listens
+   * @param write - writes a log line
    */
   constructor(settings: settingsModule.Settings, ports: ListenPorts, write: (line: string) => void) {
     this.settings = settings;
@@ -82,38 +82,38 @@
       seed: seed + 1,
       lingerMs: settings.orderLingerMs,
     });
-    const sink = (event: core.CoreEvent): void => {
+    const emit = (event: core.CoreEvent): void => {
       this.handle(event);
     };
-    this.keyValue = new keyValueShell.KeyValueShell(new platform.KeyValueClient(settings.keyValue), sink, () =>
+    this.keyValue = new keyValueAdapter.KeyValueAdapter(new fleetState.KeyValueClient(settings.keyValue), emit, () =>
       this.clock.now(),
     );
-    this.#vmList = new platform.VmListClient(settings.vmList);
-    this.dispatcher = new dispatcher.Dispatcher(sink, this.metrics, this.clock);
+    this.#vmList = new fleetState.VmListClient(settings.vmList);
+    this.dispatcher = new dispatcher.Dispatcher(emit, this.metrics, this.clock);
     const clocks = { hybrid: this.#hybrid, clock: this.clock };
-    this.peerCalls = new peerCalls.PeerCalls(this.peers, this.core, sink, clocks);
+    this.peerCalls = new peerCalls.PeerCalls(this.peers, this.core, emit, clocks);
   }
 
-  /** @returns callers that wait for an answer */
+  /** @returns number of open caller requests and resumed streams */
   get openExchanges(): number {
     return this.#exchanges.size + this.#openResumes.size;
   }
 
-  /** Begins the timers and the watch. */
+  /** Starts the timers and the watch of the key-value service. */
   start(): void {
-    this.#every(TICK_MS, () => {
+    this.#repeat(TICK_MS, () => {
       this.handle({ type: core.EventType.Tick });
     });
-    this.#every(core.constants.EXCHANGE_MS, () => {
-      this.peerCalls.exchange();
+    this.#repeat(core.constants.EXCHANGE_MS, () => {
+      this.peerCalls.exchangeHeartbeats();
     });
-    this.#every(LOAD_POLL_MS, () => {
+    this.#repeat(LOAD_POLL_MS, () => {
       this.#pollLoads();
     });
-    this.#every(VM_LIST_POLL_MS, () => {
+    this.#repeat(VM_LIST_POLL_MS, () => {
       void this.#pollVmList();
     });
-    this.#every(CALLER_KEEP_ALIVE_MS, () => {
+    this.#repeat(CALLER_KEEP_ALIVE_MS, () => {
       this.#keepCallersAlive();
     });
     const { callerUrl, peerUrl, adminUrl } = this.core.registration;
@@ -123,22 +123,22 @@
   }
 
   /**
-   * Hands the core an event and carries out what it asks for.
+   * Passes an event to the core and executes the actions that it returns.
    *
-   * @param event - what happened
+   * @param event - the event
    */
   handle(event: core.CoreEvent): void {
-    const before = this.clock.now();
-    const actions = this.core.handle(event, { now: before, wall: this.clock.wall() });
-    this.metrics.record(metrics.Duration.Handle, (this.clock.now() - before) * 1000);
-    for (const action of actions) this.#carryOut(action);
-    this.#wakeForClaims();
+    const startedAt = this.clock.now();
+    const actions = this.core.handle(event, { now: startedAt, wall: this.clock.wall() });
+    this.metrics.record(metrics.Duration.CoreEvent, (this.clock.now() - startedAt) * 1000);
+    for (const action of actions) this.#execute(action);
+    this.#scheduleClaimTick();
   }
 
   /**
-   * A caller's request has been read.
+   * Accepts a caller's parsed request.
    *
-   * @param exchange - the caller
+   * @param exchange - the open request
    */
   accept(exchange: callerExchange.CallerExchange): void {
     const { description } = exchange.request;
@@ -147,87 +147,91 @@
     this.handle({ type: core.EventType.RequestArrived, request: description });
   }
 
-  /** @param request - whose caller has closed its connection */
-  onCallerGone(request: string): void {
+  /**
+   * Handles a caller's disconnect before its response was complete.
+   *
+   * @param request - id of the request
+   */
+  onCallerDisconnected(request: string): void {
     this.#exchanges.delete(request);
     this.handle({ type: core.EventType.CallerGone, request });
   }
 
   /**
-   * A caller reads, through this daemon, a stream that another one began.
+   * Counts a resumed stream as open while it is forwarded to the caller.
    *
    * @param endpoint - `team/endpoint`
-   * @param read - reads it
+   * @param forward - forwards the stream
    */
-  async duringResume(endpoint: string, read: () => Promise<void>): Promise<void> {
+  async trackResume(endpoint: string, forward: () => Promise<void>): Promise<void> {
     const resume = `resume-${this.#random.identifier()}`;
     this.#openResumes.add(resume);
     this.handle({ type: core.EventType.ResumeBegun, resume, endpoint });
     try {
-      await read();
+      await forward();
     } finally {
       this.#openResumes.delete(resume);
       this.handle({ type: core.EventType.ResumeEnded, resume, endpoint });
     }
   }
 
-  /** @returns a fresh id for a request */
+  /** @returns a new request id */
   newRequestId(): string {
     return `${this.settings.vm}-${this.#random.identifier()}`;
   }
 
   /**
-   * Appends a claim for another daemon.
+   * Writes a claim on behalf of another daemon.
    *
    * @param claim - the claim
    * @returns its verdict
    */
   claimForPeer(claim: core.Claim): Promise<core.ClaimAnswer> {
     return new Promise((resolve) => {
-      this.#claimWaiters.set(claim.attempt, resolve);
+      this.#pendingClaims.set(claim.attempt, resolve);
       this.handle({ type: core.EventType.ClaimsAsked, claims: [claim] });
     });
   }
 
   /**
-   * Waits for the answer of an attempt that runs here.
+   * Waits on behalf of another daemon for the answer of an attempt that runs here.
    *
-   * @param question - which attempt, and who asks
-   * @returns how it ended
+   * @param request - the attempt and the asking daemon
+   * @returns the result of the join
    */
-  joinForPeer(question: JoinQuestion): Promise<JoinReply> {
+  joinForPeer(request: JoinRequest): Promise<JoinResult> {
     const join = this.#random.identifier();
     return new Promise((resolve) => {
-      this.#joinWaiters.set(join, resolve);
-      this.handle({ type: core.EventType.JoinAsked, join, ...question });
+      this.#pendingJoins.set(join, resolve);
+      this.handle({ type: core.EventType.JoinAsked, join, ...request });
     });
   }
 
-  /** Resets every order connection that has no answer, when a newer holder asks. */
-  resetOrders(): void {
-    this.#orders.resetAll();
+  /** Resets every order connection that still waits for an answer, when a newer lease holder takes over. */
+  resetOrderConnections(): void {
+    this.#orderSender.resetAll();
   }
 
   /**
-   * Leaves as planned: callers are sent elsewhere, what runs is finished, and
-   * only then the daemon ends.
+   * Drains the daemon for a graceful shutdown: directs callers to other daemons, and waits
+   * until the addresses that callers have cached expire and the running requests finish.
    *
-   * @returns when nothing runs any more
+   * @returns a promise that resolves when no request is running
    */
   async drain(): Promise<void> {
     this.handle({ type: core.EventType.StopAsked });
-    const leastUntil = this.clock.now() + core.constants.ADDRESS_TTL_MS + core.constants.EXCHANGE_MS;
-    while (this.clock.now() < leastUntil || this.openExchanges > 0 || this.core.requestDesk.size > 0) {
-      await new Promise((resolve) => setTimeout(resolve, STOP_POLL_MS));
+    const minDrainUntil = this.clock.now() + core.constants.ADDRESS_TTL_MS + core.constants.EXCHANGE_MS;
+    while (this.clock.now() < minDrainUntil || this.openExchanges > 0 || this.core.requestDesk.size > 0) {
+      await new Promise((resolve) => setTimeout(resolve, DRAIN_POLL_MS));
     }
   }
 
-  /** Ends the registration and closes everything. */
+  /** Removes the registration, revokes the lease and closes all connections. */
   async close(): Promise<void> {
     for (const timer of this.#timers) clearInterval(timer);
     clearTimeout(this.#claimTimer);
-    const farewell = this.core.markStopped({ now: this.clock.now(), wall: this.clock.wall() });
-    for (const action of farewell) {
+    const finalActions = this.core.markStopped({ now: this.clock.now(), wall: this.clock.wall() });
+    for (const action of finalActions) {
       if (action.type === core.ActionType.Transact) await this.keyValue.write(action.transaction, this.core.leaseId);
     }
     const lease = this.core.leaseId;
@@ -236,19 +240,19 @@
     await Promise.all([this.keyValue.close(), this.#vmList.close(), this.dispatcher.close()]);
   }
 
-  #carryOut(action: core.Action): void {
+  #execute(action: core.Action): void {
     switch (action.type) {
       case core.ActionType.Note:
-        this.#note(action.note);
+        this.#recordNote(action.note);
         break;
       case core.ActionType.Dispatch:
         this.#dispatch(action);
         break;
       case core.ActionType.Refuse:
-        this.#refuse(action.request, action.problem);
+        this.#sendProblem(action.request, action.problem);
         break;
       case core.ActionType.Relay:
-        this.#relay(action.request, action.answer);
+        this.#sendKeptAnswer(action.request, action.answer);
         break;
       case core.ActionType.CancelAttempt:
         void this.dispatcher.cancel(action.attempt, action.url);
@@ -260,10 +264,10 @@
         void this.peerCalls.askJoin(action);
         break;
       case core.ActionType.AnswerClaims:
-        for (const answer of action.answers) take(this.#claimWaiters, answer.claim.attempt)?.(answer);
+        for (const answer of action.answers) removeEntry(this.#pendingClaims, answer.claim.attempt)?.(answer);
         break;
       case core.ActionType.AnswerJoin:
-        take(this.#joinWaiters, action.join)?.(action);
+        removeEntry(this.#pendingJoins, action.join)?.(action);
         break;
       case core.ActionType.RenewLease:
         void this.keyValue.renew(action.lease);
@@ -288,32 +292,32 @@
 
   #dispatch(action: core.DispatchAction): void {
     const exchange = this.#exchanges.get(action.request);
-    if (exchange) void this.dispatcher.dispatch(action, exchange).then(() => this.#forgetEnded(action.request));
+    if (exchange) void this.dispatcher.dispatch(action, exchange).then(() => this.#removeEnded(action.request));
     else {
       const { request, attempt } = action;
       this.handle({ type: core.EventType.AttemptFailed, request, attempt, reach: core.Reach.NeverSent });
     }
   }
 
-  #forgetEnded(request: string): void {
+  #removeEnded(request: string): void {
     if (this.#exchanges.get(request)?.isEnded) this.#exchanges.delete(request);
   }
 
-  #refuse(request: string, problem: common.Problem): void {
+  #sendProblem(request: string, problem: common.Problem): void {
     this.metrics.count(`refused_${problem.kind.replaceAll("-", "_")}_total`);
-    const exchange = take(this.#exchanges, request);
-    exchange?.refuse(problem);
+    const exchange = removeEntry(this.#exchanges, request);
+    exchange?.sendProblem(problem);
   }
 
-  #relay(request: string, answer: core.KeptAnswer): void {
+  #sendKeptAnswer(request: string, answer: core.KeptAnswer): void {
     this.metrics.count("joined_total");
-    take(this.#exchanges, request)?.completePlain(answer.status, answer.contentType, answer.body);
+    removeEntry(this.#exchanges, request)?.completePlain(answer.status, answer.contentType, answer.body);
   }
 
   async #sendOrder(action: core.SendOrderAction): Promise<void> {
     const { endpoint, url, shard, epoch, number, role } = action;
     const mayStillSend = (): boolean => this.core.mayOrder(shard, epoch, this.clock.now());
-    const reply = await this.#orders.send({ url, number, epoch, role }, mayStillSend);
+    const reply = await this.#orderSender.send({ url, number, epoch, role }, mayStillSend);
     const outcomes: Record<endpoints.OrderReply, core.OrderOutcome> = {
       [endpoints.OrderReply.Confirmed]: core.OrderOutcome.Confirmed,
       [endpoints.OrderReply.Stale]: core.OrderOutcome.Stale,
@@ -349,26 +353,26 @@
   #keepCallersAlive(): void {
     const now = this.clock.now();
     for (const [id, exchange] of this.#exchanges) {
-      if (!exchange.keepAlive(now)) this.onCallerGone(id);
+      if (!exchange.keepAlive(now)) this.onCallerDisconnected(id);
     }
   }
 
-  #note(note: core.TimelineNote): void {
+  #recordNote(note: core.TimelineNote): void {
     this.timeline.add(note, this.#hybrid.tick());
-    const perRequest = note.fields.request !== undefined;
-    if (perRequest) this.log.debug(note.fields, note.kind);
+    const isPerRequest = note.fields.request !== undefined;
+    if (isPerRequest) this.log.debug(note.fields, note.kind);
     else this.log.info(note.fields, note.kind);
   }
 
-  #wakeForClaims(): void {
+  #scheduleClaimTick(): void {
     if (this.#claimTimer || !this.core.hasPendingClaims) return;
     this.#claimTimer = setTimeout(() => {
       this.#claimTimer = undefined;
       this.handle({ type: core.EventType.Tick });
-    }, CLAIM_WAKE_MS);
+    }, CLAIM_BATCH_DELAY_MS);
   }
 
-  #every(milliseconds: number, run: () => void): void {
+  #repeat(milliseconds: number, run: () => void): void {
     this.#timers.push(setInterval(run, milliseconds));
   }
 }
@@ -386,7 +390,7 @@
   };
 }
 
-function take<Key, Value>(map: Map<Key, Value>, key: Key): Value | undefined {
+function removeEntry<Key, Value>(map: Map<Key, Value>, key: Key): Value | undefined {
   const value = map.get(key);
   map.delete(key);
   return value;
--- a/packages/daemon/src/dispatcher.ts
+++ b/packages/daemon/src/dispatcher.ts
@@ -1,61 +1,67 @@
 import * as common from "@camphorcourse/common";
 import * as core from "@camphorcourse/core";
-import * as platform from "@camphorcourse/fleet-state";
+import * as fleetState from "@camphorcourse/fleet-state";
 import * as endpoints from "@camphorcourse/endpoints";
 import * as callerExchange from "./callerExchange.js";
-import type * as keyValueShell from "./keyValueShell.js";
+import type * as keyValueAdapter from "./keyValueAdapter.js";
 import * as metrics from "./metrics.js";
 
 const NOT_RUN_STATUSES = new Set([409, 429, 503]);
 
-/** Carries dispatches out: sends them to endpoints and passes the answers on to the callers. */
+/** Sends dispatched requests to endpoints and forwards the answers to the callers. */
 export class Dispatcher {
-  readonly #sink: keyValueShell.EventSink;
+  readonly #emit: keyValueAdapter.EventSink;
   readonly #metrics: metrics.Metrics;
   readonly #clock: common.Clock;
   readonly #engines = new Map<string, endpoints.EngineClient>();
   readonly #services = new Map<string, endpoints.ServiceClient>();
-  readonly #aborts = new Map<string, AbortController>();
+  readonly #abortControllers = new Map<string, AbortController>();
 
   /**
-   * @param sink - takes the events
-   * @param meter - of durations
-   * @param clock - monotonic time
+   * @param emit - passes events to the core
+   * @param recorder - records counters and durations
+   * @param clock - monotonic clock
    */
-  constructor(sink: keyValueShell.EventSink, meter: metrics.Metrics, clock: common.Clock) {
-    this.#sink = sink;
-    this.#metrics = meter;
+  constructor(emit: keyValueAdapter.EventSink, recorder: metrics.Metrics, clock: common.Clock) {
+    this.#emit = emit;
+    this.#metrics = recorder;
     this.#clock = clock;
   }
 
   /**
-   * @param action - what to dispatch
-   * @param exchange - the caller that waits for it
+   * Sends one attempt to its endpoint and reports the result to the core.
+   *
+   * @param action - the attempt to send
+   * @param exchange - the caller's open request
    */
   async dispatch(action: core.DispatchAction, exchange: callerExchange.CallerExchange): Promise<void> {
     const abort = new AbortController();
-    this.#aborts.set(action.attempt, abort);
+    this.#abortControllers.set(action.attempt, abort);
     try {
-      if (exchange.request.form === callerExchange.AnswerForm.Plain)
+      if (exchange.request.format === callerExchange.ResponseFormat.Plain)
         await this.#callPlain(action, exchange, abort.signal);
       else if (action.part === core.RequestPart.Prefill) await this.#prefill(action, exchange, abort.signal);
       else await this.#stream(action, exchange, abort.signal);
     } finally {
-      this.#aborts.delete(action.attempt);
+      this.#abortControllers.delete(action.attempt);
     }
   }
 
   /**
-   * @param attempt - the attempt that is no longer wanted
-   * @param url - its endpoint
+   * Aborts an attempt and cancels it at its endpoint.
+   *
+   * @param attempt - id of the attempt
+   * @param url - address of the endpoint
    */
   async cancel(attempt: string, url: string): Promise<void> {
-    this.#aborts.get(attempt)?.abort();
+    this.#abortControllers.get(attempt)?.abort();
     await this.engine(url).cancel(attempt);
   }
 
   /**
-   * @param url - an engine's address
+   * Returns the client of an engine and creates it on first use.
+   *
+   * @param url - address of the engine
    * @returns its client
    */
   engine(url: string): endpoints.EngineClient {
@@ -79,24 +85,24 @@
     const client = this.#services.get(action.url) ?? new endpoints.ServiceClient(action.url);
     this.#services.set(action.url, client);
     const { timeoutMs } = action;
-    const passed = { ...headers, "x-request-id": action.attempt };
+    const forwarded = { ...headers, "x-request-id": action.attempt };
     const reply = await client.call(
-      { path, method: method as platform.CallOptions["method"], headers: passed, body, timeoutMs },
+      { path, method: method as fleetState.CallOptions["method"], headers: forwarded, body, timeoutMs },
       signal,
     );
     if (reply.isErr()) {
-      const neverSent = reply.error.reach === platform.FailureReach.NeverSent;
-      this.#failed(action, neverSent ? core.Reach.NeverSent : core.Reach.MayHaveRun);
+      const neverSent = reply.error.reach === fleetState.FailureReach.NeverSent;
+      this.#reportFailure(action, neverSent ? core.Reach.NeverSent : core.Reach.MayHaveRun);
       return;
     }
     const { status, headers: received, body: answer } = reply.value;
     if (NOT_RUN_STATUSES.has(status) && received["x-outcome"] === "not-run") {
-      this.#failed(action, core.Reach.NotRun);
+      this.#reportFailure(action, core.Reach.NotRun);
       return;
     }
-    // The nonce tells an answer to this call from one to an earlier call on the same connection.
+    // The attempt id distinguishes the answer to this call from one to an earlier call on the same connection.
     if (received["x-request-id"] !== action.attempt) {
-      this.#failed(action, core.Reach.MayHaveRun);
+      this.#reportFailure(action, core.Reach.MayHaveRun);
       return;
     }
     const contentType = received["content-type"];
@@ -105,7 +111,7 @@
       typeof contentType === "string" ? contentType : "application/octet-stream",
       answer,
     );
-    this.#done(action, exchange, 0, kept);
+    this.#reportSuccess(action, exchange, 0, kept);
   }
 
   async #prefill(
@@ -117,10 +123,10 @@
     const request = { path, attempt: action.attempt, body: document ?? {} };
     const end = await this.engine(action.url).prefill(request, signal);
     if (end !== endpoints.StreamEnd.Marker) {
-      this.#failed(action, reachOf(end));
+      this.#reportFailure(action, deliveryOf(end));
       return;
     }
-    this.#sink({ type: core.EventType.PrefillDone, request: action.request, attempt: action.attempt });
+    this.#emit({ type: core.EventType.PrefillDone, request: action.request, attempt: action.attempt });
   }
 
   async #stream(
@@ -128,37 +134,37 @@
     exchange: callerExchange.CallerExchange,
     signal: AbortSignal,
   ): Promise<void> {
-    exchange.restart();
-    const assembly = new core.StreamAssembly(exchange.sentPieces.slice());
-    const reader = new StreamReader(assembly, (piece) => {
-      this.#onPiece(action, exchange, piece);
+    exchange.beginAttempt();
+    const assembly = new core.StreamAssembly(exchange.sentChunks.slice());
+    const reader = new ChunkReader(assembly, (chunk) => {
+      this.#onChunk(action, exchange, chunk);
     });
     const engine = this.engine(action.url);
-    const first = await engine.stream(engineRequest(action, exchange), reader.read, signal);
-    let end = first;
-    while (end === endpoints.StreamEnd.Broken || end === endpoints.StreamEnd.Crossed || reader.wantsResume) {
-      if (signal.aborted || (!reader.wantsResume && assembly.onBroken() !== core.StreamStep.Resume)) break;
-      reader.wantsResume = false;
+    const firstEnd = await engine.stream(engineRequest(action, exchange), reader.read, signal);
+    let end = firstEnd;
+    while (end === endpoints.StreamEnd.Broken || end === endpoints.StreamEnd.Crossed || reader.needsResume) {
+      if (signal.aborted || (!reader.needsResume && assembly.onBroken() !== core.StreamStep.Resume)) break;
+      reader.needsResume = false;
       end = await engine.resume(action.attempt, assembly.nextIndex, reader.read, signal);
     }
-    const whole = end === endpoints.StreamEnd.Marker && assembly.onEnd() === core.StreamStep.Complete;
-    if (whole) this.#done(action, exchange, assembly.nextIndex, exchange.completeModelAnswer());
-    else this.#failed(action, reachOf(first));
+    const isComplete = end === endpoints.StreamEnd.Marker && assembly.onEnd() === core.StreamStep.Complete;
+    if (isComplete) this.#reportSuccess(action, exchange, assembly.nextIndex, exchange.completeModelAnswer());
+    else this.#reportFailure(action, deliveryOf(firstEnd));
   }
 
-  #onPiece(action: core.DispatchAction, exchange: callerExchange.CallerExchange, piece: endpoints.StreamPiece): void {
+  #onChunk(action: core.DispatchAction, exchange: callerExchange.CallerExchange, chunk: endpoints.StreamPiece): void {
     const now = this.#clock.now();
-    const eventId = `${action.endpoint}/${action.attempt}/${piece.index}`;
-    const since = exchange.sendPiece(eventId, piece.content, piece.data, now);
-    if (since !== undefined) {
-      this.#metrics.record(metrics.Duration.BetweenTokens, since);
+    const eventId = `${action.endpoint}/${action.attempt}/${chunk.index}`;
+    const sincePrevious = exchange.sendChunk(eventId, chunk.content, chunk.data, now);
+    if (sincePrevious !== undefined) {
+      this.#metrics.record(metrics.Duration.BetweenTokens, sincePrevious);
       return;
     }
     this.#metrics.record(metrics.Duration.FirstToken, now - exchange.arrivedAt);
-    this.#sink({ type: core.EventType.FirstToken, request: action.request, attempt: action.attempt });
+    this.#emit({ type: core.EventType.FirstToken, request: action.request, attempt: action.attempt });
   }
 
-  #done(
+  #reportSuccess(
     action: core.DispatchAction,
     exchange: callerExchange.CallerExchange,
     outputTokens: number,
@@ -168,47 +174,47 @@
     this.#metrics.record(metrics.Duration.Request, this.#clock.now() - exchange.arrivedAt);
     const kept = exchange.request.description.key === undefined ? undefined : answer;
     const { request, attempt } = action;
-    this.#sink({ type: core.EventType.AnswerDone, request, attempt, outputTokens, ...(kept ? { answer: kept } : {}) });
+    this.#emit({ type: core.EventType.AnswerDone, request, attempt, outputTokens, ...(kept ? { answer: kept } : {}) });
   }
 
-  #failed(action: core.DispatchAction, reach: core.Reach): void {
+  #reportFailure(action: core.DispatchAction, reach: core.Reach): void {
     this.#metrics.count(`attempts_failed_${reach.replaceAll("-", "_")}_total`);
-    this.#sink({ type: core.EventType.AttemptFailed, request: action.request, attempt: action.attempt, reach });
+    this.#emit({ type: core.EventType.AttemptFailed, request: action.request, attempt: action.attempt, reach });
   }
 }
 
-/** Judges the pieces of one attempt and passes on those that the caller lacks. */
-class StreamReader {
+/** Checks the chunks of one attempt and forwards those that the caller doesn't have yet. */
+class ChunkReader {
   readonly #assembly: core.StreamAssembly;
-  readonly #forward: (piece: endpoints.StreamPiece) => void;
-  /** A piece was missing: the stream is to be taken up again on a new connection. */
-  wantsResume = false;
+  readonly #forward: (chunk: endpoints.StreamPiece) => void;
+  /** A chunk was missing, so the stream must be resumed on a new connection. */
+  needsResume = false;
 
-  constructor(assembly: core.StreamAssembly, forward: (piece: endpoints.StreamPiece) => void) {
+  constructor(assembly: core.StreamAssembly, forward: (chunk: endpoints.StreamPiece) => void) {
     this.#assembly = assembly;
     this.#forward = forward;
   }
 
-  readonly read = (piece: endpoints.StreamPiece): boolean => {
-    const step = this.#assembly.onPiece(piece.index, piece.content);
-    if (step === core.StreamStep.Forward) this.#forward(piece);
-    this.wantsResume = step === core.StreamStep.Resume;
+  readonly read = (chunk: endpoints.StreamPiece): boolean => {
+    const step = this.#assembly.onPiece(chunk.index, chunk.content);
+    if (step === core.StreamStep.Forward) this.#forward(chunk);
+    this.needsResume = step === core.StreamStep.Resume;
     return step === core.StreamStep.Forward || step === core.StreamStep.Skip;
   };
 }
 
 function engineRequest(action: core.DispatchAction, exchange: callerExchange.CallerExchange): endpoints.EngineRequest {
   const { path, document } = exchange.request;
-  const transfer = action.handoff && {
+  const kvTransfer = action.handoff && {
     do_remote_prefill: true,
     remote_url: action.handoff.url,
     remote_request_id: action.handoff.attempt,
   };
-  const body = { ...document, ...(transfer ? { kv_transfer_params: transfer } : {}) };
+  const body = { ...document, ...(kvTransfer ? { kv_transfer_params: kvTransfer } : {}) };
   return { path, attempt: action.attempt, body };
 }
 
-function reachOf(end: endpoints.StreamEnd): core.Reach {
+function deliveryOf(end: endpoints.StreamEnd): core.Reach {
   if (end === endpoints.StreamEnd.NeverSent) return core.Reach.NeverSent;
   return end === endpoints.StreamEnd.Refused ? core.Reach.NotRun : core.Reach.MayHaveRun;
 }
--- a/packages/daemon/src/keyValueShell.ts
+++ b/packages/daemon/src/keyValueAdapter.ts
@@ -1,83 +1,89 @@
 import * as core from "@camphorcourse/core";
-import * as platform from "@camphorcourse/fleet-state";
+import * as fleetState from "@camphorcourse/fleet-state";
 
-/** Hands an event to the core. */
+/** Passes an event to the core. */
 export type EventSink = (event: core.CoreEvent) => void;
 
-const LEAST_BACKOFF_MS = 200;
-const LONGEST_BACKOFF_MS = 3000;
+const MIN_BACKOFF_MS = 200;
+const MAX_BACKOFF_MS = 3000;
 
-/** Carries out what the core asks of the key-value service. */
-export class KeyValueShell {
-  readonly #client: platform.KeyValueClient;
-  readonly #sink: EventSink;
+/** Executes the core's actions on the key-value service and reports the results as events. */
+export class KeyValueAdapter {
+  readonly #client: fleetState.KeyValueClient;
+  readonly #emit: EventSink;
   readonly #now: () => number;
   readonly #stop = new AbortController();
 
   /**
-   * @param client - of the key-value service
-   * @param sink - takes the events
-   * @param now - monotonic time
+   * @param client - client of the key-value service
+   * @param emit - passes events to the core
+   * @param now - returns the monotonic time in milliseconds
    */
-  constructor(client: platform.KeyValueClient, sink: EventSink, now: () => number) {
+  constructor(client: fleetState.KeyValueClient, emit: EventSink, now: () => number) {
     this.#client = client;
-    this.#sink = sink;
+    this.#emit = emit;
     this.#now = now;
   }
 
   /**
-   * Follows the control records until {@link close}. After the watch has
-   * broken off it goes on from the last revision, so that an outage costs one
-   * call a daemon and not a reading of everything; the wait before it is drawn
-   * at random, so that daemons don't all come back at once.
+   * Watches the control records until {@link close}. A broken watch resumes from
+   * the last revision, so that an outage costs one call per daemon instead of a
+   * full read. The delay before it is random, so that the daemons don't all
+   * reconnect at once.
    *
-   * @param random - a number in [0, 1)
+   * @param random - returns a random number in [0, 1)
    */
   async follow(random: () => number): Promise<void> {
     let revision: number | undefined;
-    let backoff = LEAST_BACKOFF_MS;
+    let backoff = MIN_BACKOFF_MS;
     while (!this.#stop.signal.aborted) {
-      const before = revision;
+      const previous = revision;
       revision = revision === undefined ? await this.#readAll() : await this.#watch(revision);
-      const advanced = revision !== before;
-      if (revision === undefined || before !== undefined) this.#sink({ type: core.EventType.KeyValueFailed });
-      if (advanced && before === undefined) continue;
-      backoff = advanced ? LEAST_BACKOFF_MS : Math.min(LONGEST_BACKOFF_MS, backoff * 2);
-      await this.#pause(backoff * (0.5 + random()));
+      const advanced = revision !== previous;
+      if (revision === undefined || previous !== undefined) this.#emit({ type: core.EventType.KeyValueFailed });
+      if (advanced && previous === undefined) continue;
+      backoff = advanced ? MIN_BACKOFF_MS : Math.min(MAX_BACKOFF_MS, backoff * 2);
+      await this.#delay(backoff * (0.5 + random()));
     }
   }
 
   /**
-   * @param lease - the lease to renew; missing to be granted one
+   * Renews the daemon's lease, or requests a new one.
+   *
+   * @param lease - id of the lease to renew; undefined to request a new one
    */
   async renew(lease: string | undefined): Promise<void> {
     const sentAt = this.#now();
     if (lease === undefined) {
       const granted = await this.#client.grantLease(core.constants.LEASE_TTL_MS);
-      if (granted.isErr()) this.#sink({ type: core.EventType.KeyValueFailed });
-      else this.#renewed(granted.value, sentAt, core.constants.LEASE_TTL_MS);
+      if (granted.isErr()) this.#emit({ type: core.EventType.KeyValueFailed });
+      else this.#reportRenewal(granted.value, sentAt, core.constants.LEASE_TTL_MS);
       return;
     }
     const ttl = await this.#client.keepAlive(lease);
-    if (ttl.isErr()) this.#sink({ type: core.EventType.KeyValueFailed });
-    else if (ttl.value <= 0) this.#sink({ type: core.EventType.LeaseLost });
-    else this.#renewed(lease, sentAt, ttl.value);
+    if (ttl.isErr()) this.#emit({ type: core.EventType.KeyValueFailed });
+    else if (ttl.value <= 0) this.#emit({ type: core.EventType.LeaseLost });
+    else this.#reportRenewal(lease, sentAt, ttl.value);
   }
 
   /**
-   * @param token - names the transaction
-   * @param transaction - what is to be written
+   * Executes a transaction and reports its result to the core.
+   *
+   * @param token - identifies the transaction in the result event
+   * @param transaction - the transaction
    * @param lease - id of the daemon's lease
    */
   async transact(token: string, transaction: core.Transaction, lease: string | undefined): Promise<void> {
     const result = await this.write(transaction, lease);
-    this.#sink({ type: core.EventType.Transacted, token, result });
+    this.#emit({ type: core.EventType.Transacted, token, result });
   }
 
   /**
-   * @param transaction - what is to be written
+   * Executes a transaction. Doesn't send it if it needs a lease and there is none.
+   *
+   * @param transaction - the transaction
    * @param lease - id of the daemon's lease
-   * @returns how it ended
+   * @returns the outcome and the revision
    */
   async write(transaction: core.Transaction, lease?: string): Promise<core.TransactionResult> {
     if (transaction.puts.some((put) => put.leased) && lease === undefined) {
@@ -89,7 +95,7 @@
       deletes: transaction.deletes ?? [],
     });
     if (reply.isErr()) {
-      const notSent = reply.error.reach === platform.FailureReach.NeverSent;
+      const notSent = reply.error.reach === fleetState.FailureReach.NeverSent;
       return { outcome: notSent ? core.TransactionOutcome.NotSent : core.TransactionOutcome.Unknown, revision: 0 };
     }
     const outcome = reply.value.succeeded ? core.TransactionOutcome.Applied : core.TransactionOutcome.Refused;
@@ -97,29 +103,37 @@
   }
 
   /**
-   * @param token - names the reading
-   * @param prefix - of the keys
+   * Reads all records with a key prefix and reports them to the core.
+   *
+   * @param token - identifies the read in the result event
+   * @param prefix - key prefix
    */
   async readKeys(token: string, prefix: string): Promise<void> {
     const records = await this.read(prefix);
-    this.#sink({ type: core.EventType.KeysRead, token, ...(records ? { records } : {}) });
+    this.#emit({ type: core.EventType.KeysRead, token, ...(records ? { records } : {}) });
   }
 
   /**
-   * @param prefix - of the keys
-   * @returns the records, or undefined if the service can't be asked
+   * Reads all records with a key prefix.
+   *
+   * @param prefix - key prefix
+   * @returns the records, or undefined if the read failed
    */
   async read(prefix: string): Promise<core.KeyRecord[] | undefined> {
     const reply = await this.#client.range(prefix, core.prefixEnd(prefix));
     return reply.isOk() ? [...reply.value.entries] : undefined;
   }
 
-  /** @param lease - the lease to end, at a planned stop */
+  /**
+   * Revokes a lease at a graceful shutdown.
+   *
+   * @param lease - id of the lease
+   */
   async revoke(lease: string): Promise<void> {
     await this.#client.revokeLease(lease);
   }
 
-  /** Ends the watch and closes the connections. */
+  /** Stops the watch and closes the connections. */
   async close(): Promise<void> {
     this.#stop.abort();
     await this.#client.close();
@@ -130,11 +144,11 @@
     const reply = await this.#client.range(prefix, core.prefixEnd(prefix));
     if (reply.isErr()) return undefined;
     const { entries, revision } = reply.value;
-    this.#sink({ type: core.EventType.ControlSnapshot, records: entries, revision });
+    this.#emit({ type: core.EventType.ControlSnapshot, records: entries, revision });
     return revision;
   }
 
-  /** Watches until the connection ends; returns the last revision seen, or undefined if changes were lost. */
+  /** Watches until the connection ends; returns the last revision seen, or undefined if compaction removed changes. */
   async #watch(from: number): Promise<number | undefined> {
     const prefix = core.constants.CONTROL_PREFIX;
     const seen = { revision: from, compacted: false };
@@ -144,26 +158,26 @@
       from + 1,
       (reply) => {
         if (reply.compacted) seen.compacted = true;
-        else this.#onWatched(reply, seen);
+        else this.#onWatchReply(reply, seen);
       },
       this.#stop.signal,
     );
     return seen.compacted ? undefined : seen.revision;
   }
 
-  #onWatched(reply: platform.WatchReply, seen: { revision: number }): void {
+  #onWatchReply(reply: fleetState.WatchReply, seen: { revision: number }): void {
     if (reply.entries.length > 0) {
-      this.#sink({ type: core.EventType.ControlChanges, records: reply.entries, completeRevision: reply.revision });
+      this.#emit({ type: core.EventType.ControlChanges, records: reply.entries, completeRevision: reply.revision });
     }
     seen.revision = Math.max(seen.revision, reply.revision);
-    this.#sink({ type: core.EventType.KeyValueHeard, revision: reply.revision });
+    this.#emit({ type: core.EventType.KeyValueHeard, revision: reply.revision });
   }
 
-  #renewed(lease: string, sentAt: number, ttlMs: number): void {
-    this.#sink({ type: core.EventType.LeaseRenewed, lease, sentAt, ttlMs });
+  #reportRenewal(lease: string, sentAt: number, ttlMs: number): void {
+    this.#emit({ type: core.EventType.LeaseRenewed, lease, sentAt, ttlMs });
   }
 
-  #pause(milliseconds: number): Promise<void> {
+  #delay(milliseconds: number): Promise<void> {
     return new Promise((resolve) => setTimeout(resolve, milliseconds));
   }
 }
--- a/packages/daemon/src/logger.ts
+++ b/packages/daemon/src/logger.ts
@@ -2,9 +2,9 @@
 import * as bunyanModule from "bunyan";
 
 const bunyan = bunyanModule.default;
-const HIDDEN = new Set(["v", "pid", "hostname", "name", "level", "msg", "time"]);
+const NON_FIELD_PROPERTIES = new Set(["v", "pid", "hostname", "name", "level", "msg", "time"]);
 
-/** Writes bunyan's records as one line of key=value pairs each. */
+/** Writes each bunyan record as one line of key=value pairs. */
 class KeyValueLineStream {
   readonly #write: (line: string) => void;
 
@@ -19,20 +19,22 @@
       event: record.msg as string,
     };
     for (const [name, value] of Object.entries(record)) {
-      if (!HIDDEN.has(name)) fields[name] = value as common.Field;
+      if (!NON_FIELD_PROPERTIES.has(name)) fields[name] = value as common.Field;
     }
     this.#write(`${common.formatFields(fields)}\n`);
   }
 }
 
-/** The daemon's log. */
+/** Logger of the daemon. */
 export type Logger = InstanceType<typeof bunyan>;
 
 /**
- * @param vm - the VM, part of each line
- * @param level - least level that is written
- * @param write - takes the lines
- * @returns the log
+ * Creates the daemon's logger.
+ *
+ * @param vm - name of the VM, written in each line
+ * @param level - minimum level that is written
+ * @param write - writes a line
+ * @returns the logger
  */
 export function createLogger(vm: string, level: bunyanModule.LogLevelString, write: (line: string) => void): Logger {
   const stream = new KeyValueLineStream(write);
--- a/packages/daemon/src/main.ts
+++ b/packages/daemon/src/main.ts
@@ -4,40 +4,40 @@
 import * as settings from "./settings.js";
 
 const VERSION = "0.1.0";
-const EXIT_BAD_SETTINGS = 2;
+const EXIT_INVALID_SETTINGS = 2;
 
-function setting(name: settings.SettingName): string | undefined {
+function settingOption(name: settings.SettingName): string | undefined {
   const { flag, variable, description, defaultValue } = settings.describeSetting(name);
-  const shown = defaultValue === undefined ? description : `${description} (default ${defaultValue})`;
-  return clipanion.Option.String(flag, { env: variable, description: `${shown} [${variable}]` });
+  const helpText = defaultValue === undefined ? description : `${description} (default ${defaultValue})`;
+  return clipanion.Option.String(flag, { env: variable, description: `${helpText} [${variable}]` });
 }
 
-/** Serves until it is told to stop. */
+/** Runs the daemon until SIGTERM or SIGINT. */
 class DaemonCommand extends clipanion.Command {
   static override paths = [clipanion.Command.Default];
   static override usage = clipanion.Command.Usage({
-    description: "serve callers, route to endpoints, and take part in control work",
-    details: "SIGTERM or SIGINT stops it as planned: nothing that runs is cut.",
+    description: "serve callers, route requests to endpoints, and take part in fleet coordination",
+    details: "SIGTERM or SIGINT shuts it down gracefully: running requests finish first.",
   });
-  vm = setting("vm");
-  dataCentre = setting("dataCentre");
-  listen = setting("listen");
-  peerListen = setting("peerListen");
-  adminListen = setting("adminListen");
-  advertise = setting("advertise");
-  keyValue = setting("keyValue");
-  vmList = setting("vmList");
-  operatorTokenDigest = setting("operatorTokenDigest");
-  seed = setting("seed");
-  bodyLimit = setting("bodyLimit");
-  orderLingerMs = setting("orderLingerMs");
-  logLevel = setting("logLevel");
+  vm = settingOption("vm");
+  dataCentre = settingOption("dataCentre");
+  listen = settingOption("listen");
+  peerListen = settingOption("peerListen");
+  adminListen = settingOption("adminListen");
+  advertise = settingOption("advertise");
+  keyValue = settingOption("keyValue");
+  vmList = settingOption("vmList");
+  operatorTokenDigest = settingOption("operatorTokenDigest");
+  seed = settingOption("seed");
+  bodyLimit = settingOption("bodyLimit");
+  orderLingerMs = settingOption("orderLingerMs");
+  logLevel = settingOption("logLevel");
 
   async execute(): Promise<number> {
     const parsed = settings.parseSettings(this);
     if (parsed.isErr()) {
       this.context.stderr.write(`${parsed.error.detail}\nremedy: ${parsed.error.remedy}\n`);
-      return EXIT_BAD_SETTINGS;
+      return EXIT_INVALID_SETTINGS;
     }
     const running = await runDaemon.runDaemon(parsed.value, (line) => this.context.stdout.write(line));
     await new Promise<void>((resolve) => {
--- a/packages/daemon/src/metrics.ts
+++ b/packages/daemon/src/metrics.ts
@@ -1,19 +1,19 @@
 import * as metrics from "@camphorcourse/common/metrics";
 
-/** Durations that are measured. */
+/** Measured durations; each value is the name of its metric. */
 export enum Duration {
   Request = "request_milliseconds",
   FirstToken = "first_token_milliseconds",
   BetweenTokens = "between_tokens_milliseconds",
-  Handle = "core_event_microseconds",
+  CoreEvent = "core_event_microseconds",
 }
 
-/** Largest duration, in the unit that its name gives, and digits. */
-const BOUNDS: metrics.HistogramBounds = { largest: 3_600_000, significantDigits: 3 };
+/** Maximum value, in the unit that the metric's name gives, and the number of significant digits. */
+const HISTOGRAM_BOUNDS: metrics.HistogramBounds = { largest: 3_600_000, significantDigits: 3 };
 
-/** Counters and histograms of the daemon; every duration is told from the start. */
+/** Counters and histograms of the daemon. Every duration is exported from the start, also before its first value. */
 export class Metrics extends metrics.Metrics<Duration> {
   constructor() {
-    super(BOUNDS, Object.values(Duration));
+    super(HISTOGRAM_BOUNDS, Object.values(Duration));
   }
 }
--- a/packages/daemon/src/peerCalls.ts
+++ b/packages/daemon/src/peerCalls.ts
@@ -1,68 +1,74 @@
 import type * as common from "@camphorcourse/common";
 import * as core from "@camphorcourse/core";
 import type * as protocol from "@camphorcourse/protocol";
-import type * as keyValueShell from "./keyValueShell.js";
+import type * as keyValueAdapter from "./keyValueAdapter.js";
 import type * as peerClients from "./peerClients.js";
 import * as messages from "./peerMessages.js";
 
 const PEER_TIMEOUT_MS = 1000;
 const CLAIM_TIMEOUT_MS = 3000;
-/** The peer with the lower name begins the exchange; the other only if it hears nothing. */
-const EXCHANGE_TAKEOVER_MS = 2500;
+/** The daemon with the lower VM name initiates the exchange; the other one only after this time without a heartbeat. */
+const HEARTBEAT_TAKEOVER_MS = 2500;
 
-/** Carries out what the core asks of the other daemons. */
+/** Executes the core's actions that call other daemons, and exchanges heartbeats with them. */
 export class PeerCalls {
   readonly #clients: peerClients.PeerClients;
   readonly #core: core.Core;
-  readonly #sink: keyValueShell.EventSink;
+  readonly #emit: keyValueAdapter.EventSink;
   readonly #hybrid: common.HybridClock;
   readonly #clock: common.Clock;
 
   /**
-   * @param clients - of the other daemons
-   * @param decisions - the core
-   * @param sink - takes the events
-   * @param clocks - hybrid and monotonic time
+   * @param clients - clients of the other daemons
+   * @param daemonCore - the core
+   * @param emit - passes events to the core
+   * @param clocks - hybrid and monotonic clocks
    */
   constructor(
     clients: peerClients.PeerClients,
-    decisions: core.Core,
-    sink: keyValueShell.EventSink,
+    daemonCore: core.Core,
+    emit: keyValueAdapter.EventSink,
     clocks: { hybrid: common.HybridClock; clock: common.Clock },
   ) {
     this.#clients = clients;
-    this.#core = decisions;
-    this.#sink = sink;
+    this.#core = daemonCore;
+    this.#emit = emit;
     this.#hybrid = clocks.hybrid;
     this.#clock = clocks.clock;
   }
 
-  /** @returns this daemon's heartbeat */
+  /** @returns this daemon's heartbeat message */
   heartbeat(): protocol.ExchangeRequest {
     return messages.heartbeatToWire(this.#core.heartbeat(this.#clock.now()), this.#hybrid.tick());
   }
 
-  /** @param message - a peer's heartbeat */
+  /**
+   * Handles a heartbeat from a peer.
+   *
+   * @param message - the heartbeat
+   */
   onHeartbeat(message: protocol.ExchangeRequest): void {
-    this.#hybrid.observe(messages.stampOf(message));
-    this.#sink({ type: core.EventType.PeerHeard, report: messages.heartbeatFromWire(message) });
+    this.#hybrid.observe(messages.timestampOf(message));
+    this.#emit({ type: core.EventType.PeerHeard, report: messages.heartbeatFromWire(message) });
   }
 
-  /** Exchanges heartbeats with the peers whose turn it is not to begin. */
-  exchange(): void {
+  /** Sends heartbeats to the peers whose exchange this daemon initiates. */
+  exchangeHeartbeats(): void {
     const now = this.#clock.now();
     const { vm } = this.#core.registration;
     for (const peer of this.#core.roster.peers()) {
-      const begins = vm < peer.registration.vm || now - peer.heardAt > EXCHANGE_TAKEOVER_MS;
-      if (begins) void this.#exchangeWith(peer.registration.peerUrl);
+      const initiates = vm < peer.registration.vm || now - peer.heardAt > HEARTBEAT_TAKEOVER_MS;
+      if (initiates) void this.#exchangeHeartbeatsWith(peer.registration.peerUrl);
     }
   }
 
   /**
-   * @param url - a peer's address
-   * @param records - records that it may lack
-   * @param completeRevision - 0, or the revision up to which they are complete
-   * @returns whether the peer took them in
+   * Pushes control records to a peer.
+   *
+   * @param url - address of the peer
+   * @param records - records that the peer may not have
+   * @param completeRevision - revision up to which the records are complete, or 0
+   * @returns whether the peer acknowledged them
    */
   async pushRecords(url: string, records: readonly core.KeyRecord[], completeRevision: number): Promise<boolean> {
     const request = {
@@ -77,8 +83,10 @@
   }
 
   /**
-   * @param claim - to be appended by its partition's preferred daemon
-   * @param peerUrl - that daemon's address
+   * Asks the preferred daemon of a claim's partition to write the claim.
+   *
+   * @param claim - the claim
+   * @param peerUrl - address of the preferred daemon
    */
   async askClaim(claim: core.Claim, peerUrl: string): Promise<void> {
     const reply = await this.#clients.call(peerUrl, (client) =>
@@ -86,29 +94,34 @@
     );
     const answer = reply?.answers[0];
     if (!answer) {
-      // The owner is out of reach; the compare-and-swap is safe from any daemon, only dearer.
-      this.#sink({ type: core.EventType.ClaimsAsked, claims: [claim] });
+      // The preferred daemon is unreachable. Any daemon can write the claim safely by
+      // compare-and-swap, only at a higher cost.
+      this.#emit({ type: core.EventType.ClaimsAsked, claims: [claim] });
       return;
     }
     const standing = answer.standing && messages.claimFromWire(answer.standing);
     const verdict = messages.claimVerdictFromWire(answer.verdict);
     const { attempt } = claim;
-    this.#sink({ type: core.EventType.ClaimAnswered, attempt, verdict, ...(standing ? { standing } : {}) });
+    this.#emit({ type: core.EventType.ClaimAnswered, attempt, verdict, ...(standing ? { standing } : {}) });
   }
 
-  /** @param action - which attempt's answer is wanted, and where it runs */
+  /**
+   * Asks the daemon that runs an attempt for the answer, and reports it to the core.
+   *
+   * @param action - the attempt and its owner
+   */
   async askJoin(action: Extract<core.Action, { type: core.ActionType.AskJoin }>): Promise<void> {
     const { request, key, digest, owner, asker, timeoutMs } = action;
     const peerUrl = this.#core.roster.get(owner.vm)?.registration.peerUrl;
     const question = { key, digest, incarnation: owner.incarnation, attempt: owner.attempt, asker };
-    const ask = (): Promise<protocol.JoinAttemptResponse | undefined> =>
+    const callOwner = (): Promise<protocol.JoinAttemptResponse | undefined> =>
       this.#clients.call(peerUrl ?? "", (client) => client.joinAttempt(question, { timeoutMs }));
-    // The second try is on a new connection: the first may have been lost on the way.
-    const reply = peerUrl === undefined ? undefined : ((await ask()) ?? (await ask()));
+    // The second call uses a new connection, since the first one may have been lost with its connection.
+    const reply = peerUrl === undefined ? undefined : ((await callOwner()) ?? (await callOwner()));
     const verdict = reply ? messages.joinVerdictFromWire(reply.verdict) : core.JoinVerdict.Unknown;
-    const answered = reply && verdict === core.JoinVerdict.Answered;
-    const answer = answered && { status: reply.status, contentType: reply.contentType, body: reply.body };
-    this.#sink({
+    const isAnswered = reply && verdict === core.JoinVerdict.Answered;
+    const answer = isAnswered && { status: reply.status, contentType: reply.contentType, body: reply.body };
+    this.#emit({
       type: core.EventType.JoinAnswered,
       request,
       verdict,
@@ -117,7 +130,11 @@
     });
   }
 
-  /** @param action - which former holder is to be told of which epoch */
+  /**
+   * Tells a former lease holder that a newer epoch has begun.
+   *
+   * @param action - the former holder, the shard and the new epoch
+   */
   async askDepose(action: Extract<core.Action, { type: core.ActionType.AskDepose }>): Promise<void> {
     const { vm, peerUrl, shard, epoch } = action;
     const question = { shard, epoch: BigInt(epoch) };
@@ -126,10 +143,10 @@
     );
     if (!reply) return;
     const { incarnation, reset } = reply;
-    this.#sink({ type: core.EventType.DeposeAnswered, vm, shard, epoch, incarnation, reset });
+    this.#emit({ type: core.EventType.DeposeAnswered, vm, shard, epoch, incarnation, reset });
   }
 
-  async #exchangeWith(url: string): Promise<void> {
+  async #exchangeHeartbeatsWith(url: string): Promise<void> {
     const heartbeat = this.heartbeat();
     const reply = await this.#clients.call(url, (client) => client.exchange(heartbeat, { timeoutMs: PEER_TIMEOUT_MS }));
     if (reply?.reply) this.onHeartbeat(reply.reply);
--- a/packages/daemon/src/peerClients.ts
+++ b/packages/daemon/src/peerClients.ts
@@ -10,18 +10,18 @@
   readonly agent: http.Agent;
 }
 
-/** Clients of the other daemons, one an address. */
+/** Clients of the other daemons, one per address. */
 export class PeerClients {
   readonly #connections = new Map<string, PeerConnection>();
 
   /**
-   * Calls a peer. After a failure the next calls take new connections, so that
-   * none waits on one that has silently died. Calls under way go on where they
-   * are: one of them may be a duplicate's long wait for its answer.
+   * Calls a peer. After a failed call the next ones use new connections, so that
+   * none waits on a connection that has silently died. Calls in progress keep
+   * theirs: one may be a duplicate that waits long for its answer.
    *
-   * @param url - the peer's address
-   * @param call - what to call
-   * @returns the reply, or undefined if there was none
+   * @param url - address of the peer
+   * @param call - makes the call
+   * @returns the reply, or undefined if the call failed
    */
   async call<Reply>(url: string, call: (client: PeerClient) => Promise<Reply>): Promise<Reply | undefined> {
     const connection = this.#connection(url);
@@ -39,7 +39,7 @@
     this.#connections.clear();
   }
 
-  /** The old connections close by themselves as their calls end. */
+  /** Stops reusing a client's connections: idle ones close now, the others when their calls end. */
   #retire(url: string, connection: PeerConnection): void {
     if (this.#connections.get(url) === connection) this.#connections.delete(url);
     const agent = connection.agent as http.Agent & { keepAlive: boolean };
@@ -48,8 +48,8 @@
   }
 
   #connection(url: string): PeerConnection {
-    const present = this.#connections.get(url);
-    if (present) return present;
+    const existing = this.#connections.get(url);
+    if (existing) return existing;
     const agent = new http.Agent({ keepAlive: true });
     const transport = connectNode.createConnectTransport({ baseUrl: url, httpVersion: "1.1", nodeOptions: { agent } });
     const connection = { client: connect.createClient(protocol.Peer, transport), agent };
--- a/packages/daemon/src/peerMessages.ts
+++ b/packages/daemon/src/peerMessages.ts
@@ -3,13 +3,13 @@
 import * as protobuf from "@bufbuild/protobuf";
 import type * as common from "@camphorcourse/common";
 
-const VERDICTS_TO_WIRE: Record<core.ClaimVerdict, protocol.ClaimVerdict> = {
+const CLAIM_VERDICTS_TO_WIRE: Record<core.ClaimVerdict, protocol.ClaimVerdict> = {
   [core.ClaimVerdict.Granted]: protocol.ClaimVerdict.GRANTED,
   [core.ClaimVerdict.Taken]: protocol.ClaimVerdict.TAKEN,
   [core.ClaimVerdict.Unavailable]: protocol.ClaimVerdict.UNAVAILABLE,
 };
 
-const JOINS_TO_WIRE: Record<core.JoinVerdict, protocol.JoinVerdict> = {
+const JOIN_VERDICTS_TO_WIRE: Record<core.JoinVerdict, protocol.JoinVerdict> = {
   [core.JoinVerdict.Answered]: protocol.JoinVerdict.ANSWERED,
   [core.JoinVerdict.Ceded]: protocol.JoinVerdict.CEDED,
   [core.JoinVerdict.Moved]: protocol.JoinVerdict.MOVED,
@@ -20,35 +20,43 @@
 };
 
 /**
- * @param verdict - a claim's verdict
- * @returns the same in the protocol
+ * Converts a claim verdict to its protocol value.
+ *
+ * @param verdict - the verdict
+ * @returns the protocol value
  */
 export function claimVerdictToWire(verdict: core.ClaimVerdict): protocol.ClaimVerdict {
-  return VERDICTS_TO_WIRE[verdict];
+  return CLAIM_VERDICTS_TO_WIRE[verdict];
 }
 
 /**
- * @param wire - a verdict of the protocol
- * @returns the claim's verdict; one that is not known counts as unavailable
+ * Converts a claim verdict from its protocol value.
+ *
+ * @param wire - the protocol value
+ * @returns the verdict; `Unavailable` for an unknown value
  */
 export function claimVerdictFromWire(wire: protocol.ClaimVerdict): core.ClaimVerdict {
-  return keyOf(VERDICTS_TO_WIRE, wire) ?? core.ClaimVerdict.Unavailable;
+  return keyOf(CLAIM_VERDICTS_TO_WIRE, wire) ?? core.ClaimVerdict.Unavailable;
 }
 
 /**
- * @param verdict - a join's verdict
- * @returns the same in the protocol
+ * Converts a join verdict to its protocol value.
+ *
+ * @param verdict - the verdict
+ * @returns the protocol value
  */
 export function joinVerdictToWire(verdict: core.JoinVerdict): protocol.JoinVerdict {
-  return JOINS_TO_WIRE[verdict];
+  return JOIN_VERDICTS_TO_WIRE[verdict];
 }
 
 /**
- * @param wire - a verdict of the protocol
- * @returns the join's verdict; one that is not known counts as unknown
+ * Converts a join verdict from its protocol value.
+ *
+ * @param wire - the protocol value
+ * @returns the verdict; `Unknown` for an unknown value
  */
 export function joinVerdictFromWire(wire: protocol.JoinVerdict): core.JoinVerdict {
-  return keyOf(JOINS_TO_WIRE, wire) ?? core.JoinVerdict.Unknown;
+  return keyOf(JOIN_VERDICTS_TO_WIRE, wire) ?? core.JoinVerdict.Unknown;
 }
 
 function keyOf<Key extends string, Value>(map: Record<Key, Value>, value: Value): Key | undefined {
@@ -56,11 +64,13 @@
 }
 
 /**
- * @param report - a heartbeat
- * @param stamp - when it was made
+ * Converts a heartbeat to its protocol message.
+ *
+ * @param report - the heartbeat
+ * @param timestamp - hybrid timestamp of the heartbeat
  * @returns the message
  */
-export function heartbeatToWire(report: core.PeerReport, stamp: common.HybridStamp): protocol.ExchangeRequest {
+export function heartbeatToWire(report: core.PeerReport, timestamp: common.HybridStamp): protocol.ExchangeRequest {
   return protobuf.create(protocol.ExchangeRequestSchema, {
     vm: report.vm,
     incarnation: report.incarnation,
@@ -75,13 +85,15 @@
       arrived,
       requests: BigInt(requests),
     })),
-    wallMs: BigInt(stamp.wallMs),
-    counter: stamp.counter,
+    wallMs: BigInt(timestamp.wallMs),
+    counter: timestamp.counter,
   });
 }
 
 /**
- * @param message - a heartbeat as it came
+ * Converts a heartbeat from its protocol message.
+ *
+ * @param message - the received message
  * @returns the heartbeat
  */
 export function heartbeatFromWire(message: protocol.ExchangeRequest): core.PeerReport {
@@ -114,15 +126,19 @@
 }
 
 /**
- * @param message - a heartbeat as it came
- * @returns its stamp
+ * Reads the hybrid timestamp of a heartbeat.
+ *
+ * @param message - the received message
+ * @returns its timestamp
  */
-export function stampOf(message: protocol.ExchangeRequest): common.HybridStamp {
+export function timestampOf(message: protocol.ExchangeRequest): common.HybridStamp {
   return { wallMs: Number(message.wallMs), counter: message.counter };
 }
 
 /**
- * @param record - a control record
+ * Converts a control record to its protocol message.
+ *
+ * @param record - the record
  * @returns the message
  */
 export function recordToWire(record: core.KeyRecord): protobuf.MessageInitShape<typeof protocol.ControlRecordSchema> {
@@ -136,7 +152,9 @@
 }
 
 /**
- * @param message - a control record as it came
+ * Converts a control record from its protocol message.
+ *
+ * @param message - the received message
  * @returns the record
  */
 export function recordFromWire(message: protocol.ControlRecord): core.KeyRecord {
@@ -150,7 +168,9 @@
 }
 
 /**
- * @param item - a claim as it came
+ * Converts a claim from its protocol message.
+ *
+ * @param item - the received message
  * @returns the claim
  */
 export function claimFromWire(item: protocol.ClaimItem): core.Claim {
@@ -159,7 +179,9 @@
 }
 
 /**
- * @param event - an event of the time line
+ * Converts a timeline event to its protocol message.
+ *
+ * @param event - the event
  * @returns the message
  */
 export function timelineEventToWire(
--- a/packages/daemon/src/peerServer.ts
+++ b/packages/daemon/src/peerServer.ts
@@ -7,7 +7,7 @@
 import type * as daemon from "./daemon.js";
 import * as messages from "./peerMessages.js";
 
-/** Serves the other daemons. */
+/** Serves the calls of other daemons. */
 export class PeerServer {
   readonly #daemon: daemon.Daemon;
   readonly handler: http.RequestListener;
@@ -72,7 +72,7 @@
 
   #depose(request: protocol.DeposeRequest): { incarnation: string; reset: boolean } {
     this.#daemon.handle({ type: core.EventType.DeposeAsked, shard: request.shard, epoch: Number(request.epoch) });
-    this.#daemon.resetOrders();
+    this.#daemon.resetOrderConnections();
     return { incarnation: this.#daemon.core.registration.incarnation, reset: true };
   }
 
@@ -86,8 +86,8 @@
   }
 }
 
-/** An event of a peer's time line. */
-export interface RemoteEvent {
+/** A timeline event received from a peer. */
+export interface PeerTimelineEvent {
   readonly stamp: common.HybridStamp;
   readonly vm: string;
   readonly kind: string;
@@ -96,10 +96,12 @@
 }
 
 /**
- * @param event - as it came
+ * Converts a timeline event from its protocol message.
+ *
+ * @param event - the received message
  * @returns the event
  */
-export function timelineEventFromWire(event: protocol.TimelineEvent): RemoteEvent {
+export function timelineEventFromWire(event: protocol.TimelineEvent): PeerTimelineEvent {
   return {
     stamp: { wallMs: Number(event.wallMs), counter: event.counter },
     vm: event.vm,
--- a/packages/daemon/src/runDaemon.ts
+++ b/packages/daemon/src/runDaemon.ts
@@ -7,32 +7,34 @@
 import * as peerServer from "./peerServer.js";
 import type * as settingsModule from "./settings.js";
 
-/** A daemon whose servers listen. */
+/** A daemon whose servers are listening. */
 export interface RunningDaemon {
   readonly daemon: daemon.Daemon;
-  /** Leaves as planned, then ends. */
+  /** Drains the daemon, then closes it. */
   stop(): Promise<void>;
 }
 
-/** A server that listens before what answers on it is made, since that has to know the port. */
-interface Door {
+/** A server that listens before its handler exists, because creating the handler requires the port. */
+interface DeferredServer {
   readonly server: http.Server;
   readonly port: number;
   handler: http.RequestListener;
 }
 
 /**
- * @param settings - checked settings
- * @param write - takes log lines
+ * Starts a daemon and its servers.
+ *
+ * @param settings - validated settings
+ * @param write - writes a log line
  * @returns the running daemon
  */
 export async function runDaemon(
   settings: settingsModule.Settings,
   write: (line: string) => void,
 ): Promise<RunningDaemon> {
-  const callers = await openDoor(settings.listen);
-  const peers = await openDoor(settings.peerListen);
-  const admin = await openDoor(settings.adminListen);
+  const callers = await openServer(settings.listen);
+  const peers = await openServer(settings.peerListen);
+  const admin = await openServer(settings.adminListen);
   const owner = new daemon.Daemon(settings, { caller: callers.port, peer: peers.port, admin: admin.port }, write);
   callers.handler = toListener(new callerServer.CallerServer(owner).app.fetch);
   admin.handler = toListener(new adminServer.AdminServer(owner).app.fetch);
@@ -56,21 +58,21 @@
   };
 }
 
-function openDoor(address: settingsModule.ListenAddress): Promise<Door> {
+function openServer(address: settingsModule.ListenAddress): Promise<DeferredServer> {
   return new Promise((resolve, reject) => {
     const server = http.createServer((request, response) => {
-      door.handler(request, response);
+      deferred.handler(request, response);
     });
-    const door = { server, port: address.port, handler: notYet };
+    const deferred = { server, port: address.port, handler: respondNotReady };
     server.once("error", reject);
     server.listen(address.port, address.host, () => {
-      door.port = (server.address() as net.AddressInfo).port;
-      resolve(door);
+      deferred.port = (server.address() as net.AddressInfo).port;
+      resolve(deferred);
     });
   });
 }
 
-function notYet(_request: http.IncomingMessage, response: http.ServerResponse): void {
+function respondNotReady(_request: http.IncomingMessage, response: http.ServerResponse): void {
   response.writeHead(503, { "retry-after": "1", "x-outcome": "not-run" });
   response.end();
 }
--- a/packages/daemon/src/settings.ts
+++ b/packages/daemon/src/settings.ts
@@ -8,7 +8,7 @@
   readonly port: number;
 }
 
-/** One setting: its flag, and the environment variable of the same name. */
+/** A setting with its command-line flag and environment variable. */
 export interface SettingDescription {
   readonly flag: string;
   readonly variable: string;
@@ -48,10 +48,10 @@
   logLevel: zod.enum(["debug", "info", "warn", "error"], { error: "give debug, info, warn or error" }),
 });
 
-/** The settings of a daemon, checked. */
+/** The validated settings of a daemon. */
 export type Settings = zod.infer<typeof schema>;
 
-/** The settings' names. */
+/** Name of a setting. */
 export type SettingName = keyof Settings;
 
 const DESCRIPTIONS: Record<SettingName, { description: string; defaultValue?: string }> = {
@@ -74,8 +74,10 @@
 };
 
 /**
- * @param name - the setting
- * @returns its flag, variable and text
+ * Describes a setting.
+ *
+ * @param name - name of the setting
+ * @returns its flag, environment variable, description and default
  */
 export function describeSetting(name: SettingName): SettingDescription {
   const words = name.replace(/[A-Z]/g, (letter) => `-${letter.toLowerCase()}`);
@@ -83,14 +85,16 @@
   return { flag: `--${words}`, variable, ...DESCRIPTIONS[name] };
 }
 
-/** @returns all settings, for the operators' page */
+/** @returns the descriptions of all settings, for the generated documentation */
 export function describeSettings(): SettingDescription[] {
   return (Object.keys(DESCRIPTIONS) as SettingName[]).map(describeSetting);
 }
 
 /**
- * @param values - the texts given by flag or variable
- * @returns the settings, or a problem that names each flag, its value and the remedy
+ * Validates the settings and applies the defaults.
+ *
+ * @param values - values given by flags or environment variables
+ * @returns the settings, or a problem that names each invalid flag, its value and the remedy
  */
 export function parseSettings(
   values: Partial<Record<SettingName, string | undefined>>,
@@ -100,11 +104,13 @@
   );
   const parsed = schema.safeParse(withDefaults);
   if (parsed.success) return neverthrow.ok(parsed.data);
-  const faults = parsed.error.issues.map((issue) => faultOf(issue.path[0] as SettingName, withDefaults, issue.message));
-  return neverthrow.err(common.problem(common.ProblemKind.InvalidSetting, faults.join("; ")));
+  const errors = parsed.error.issues.map((issue) =>
+    describeError(issue.path[0] as SettingName, withDefaults, issue.message),
+  );
+  return neverthrow.err(common.problem(common.ProblemKind.InvalidSetting, errors.join("; ")));
 }
 
-function faultOf(name: SettingName, values: Record<string, string | undefined>, message: string): string {
+function describeError(name: SettingName, values: Record<string, string | undefined>, message: string): string {
   const { flag, variable } = describeSetting(name);
   const value = values[name];
   if (value === undefined) return `${flag} (or ${variable}) is missing: give it`;
--- a/packages/daemon/tests/atMostOnce.test.ts
+++ b/packages/daemon/tests/atMostOnce.test.ts
@@ -2,7 +2,7 @@
 import * as uvu from "uvu";
 import * as assert from "uvu/assert";
 
-interface Word {
+interface CallResult {
   readonly key: string;
   readonly status: number;
   readonly outcome: string | null;
@@ -10,14 +10,14 @@
 }
 
 const fleet = new standIns.Fleet({ engines: 0, services: 3, daemons: 3 });
-const suite = uvu.suite("at most once, over processes");
+const suite = uvu.suite("at-most-once execution, with processes");
 
 suite.before(() => fleet.start());
 suite.after(() => {
   fleet.stop();
 });
 
-async function send(index: number, key: string, body?: string): Promise<Word> {
+async function send(index: number, key: string, body?: string): Promise<CallResult> {
   try {
     const reply = await fleet.printLabel(index, key, body);
     return { key, status: reply.status, outcome: reply.headers.get("x-outcome"), body: await reply.text() };
@@ -38,44 +38,44 @@
 }
 
 /*
- * A caller that hears nothing sends a label print to three daemons at once.
- * Their claims race; one daemon runs the call, the others hand on its answer.
- * Every reply is the same, and the printer has one entry for each key.
+ * A caller sends the same label print to three daemons at once, so that their
+ * claims race. One daemon runs the call and the others return its answer: all
+ * replies are the same, and the printer's journal has one entry per key.
  */
 suite("duplicates at three daemons run once and get the same answer", async () => {
   const keys = Array.from({ length: 30 }, (_, index) => `race-${index}`);
-  const words = await Promise.all(keys.flatMap((key) => [0, 1, 2].map((index) => send(index, key))));
+  const results = await Promise.all(keys.flatMap((key) => [0, 1, 2].map((index) => send(index, key))));
   const counts = await executions();
   for (const key of keys) {
     assert.is(counts.get(key), 1);
-    const bodies = new Set(words.filter((word) => word.key === key).map((word) => word.body));
+    const bodies = new Set(results.filter((result) => result.key === key).map((result) => result.body));
     assert.is(bodies.size, 1, JSON.stringify([...bodies]));
   }
-  assert.ok(words.every((word) => word.status === 200));
+  assert.ok(results.every((result) => result.status === 200));
 });
 
 /*
- * The service drops replies after the write took effect, for claims of several
- * batches. The daemon reads the log back, finds its own claim and goes on.
+ * The key-value service applies claim writes of several batches but drops the
+ * replies. The daemon reads the claims back, finds its own and continues.
  */
-suite("a lost reply to the claim's write costs nothing", async () => {
+suite("a lost reply to a claim write runs no call twice", async () => {
   await fleet.fault(fleet.keyValueUrl, { dropReplies: 3 });
   const keys = Array.from({ length: 20 }, (_, index) => `lost-${index}`);
-  const words = await Promise.all(keys.map((key, index) => send(index % 3, key)));
+  const results = await Promise.all(keys.map((key, index) => send(index % 3, key)));
   const counts = await executions();
-  for (const word of words) {
-    if (word.status === 200) assert.is(counts.get(word.key), 1);
-    else assert.is(word.outcome, "not-run");
-    assert.ok((counts.get(word.key) ?? 0) <= 1);
+  for (const result of results) {
+    if (result.status === 200) assert.is(counts.get(result.key), 1);
+    else assert.is(result.outcome, "not-run");
+    assert.ok((counts.get(result.key) ?? 0) <= 1);
   }
   await fleet.fault(fleet.keyValueUrl, { dropReplies: 0 });
 });
 
 /*
- * The key-value service is down. A label print is refused at once as not run,
- * with when to come back; nothing reaches a printer. Afterwards it runs.
+ * While the key-value service is down, a label print is rejected at once with
+ * outcome "not-run" and reaches no printer. After the outage it runs once.
  */
-suite("an outage refuses at once and truly", async () => {
+suite("a call rejected during an outage has not run", async () => {
   await fleet.fault(fleet.keyValueUrl, { down: true });
   const refused = await send(0, "outage");
   assert.is(refused.status, 503);
@@ -88,19 +88,19 @@
 });
 
 /*
- * Daemons are killed while duplicates of many keys are under way, so that they
- * die before the claim, after it, after the dispatch, and after the answer.
- * The callers go on with the others. No key runs twice, and a key whose every
- * word was "not run" did not run.
+ * Daemons are killed while duplicates of many keys are in progress: before the
+ * claim, after it, after the dispatch, and after the answer. Callers continue
+ * with the other daemons. No key runs twice, and a key whose replies all said
+ * "not-run" did not run.
  */
 suite("killing daemons at any step runs no key twice", async () => {
-  const words: Word[] = [];
+  const results: CallResult[] = [];
   const pending: Promise<void>[] = [];
   for (let index = 0; index < 120; index++) {
     if (index === 40) fleet.daemon(0).child.kill("SIGKILL");
     if (index === 80) fleet.daemon(1).child.kill("SIGKILL");
     for (const daemon of [index % 3, (index + 1) % 3]) {
-      pending.push(send(daemon, `kill-${index}`).then((word) => void words.push(word)));
+      pending.push(send(daemon, `kill-${index}`).then((result) => void results.push(result)));
     }
     await new Promise((resolve) => setTimeout(resolve, 4));
   }
@@ -108,10 +108,10 @@
   const counts = await executions();
   for (let index = 0; index < 120; index++) {
     const key = `kill-${index}`;
-    const own = words.filter((word) => word.key === key);
+    const own = results.filter((result) => result.key === key);
     assert.ok((counts.get(key) ?? 0) <= 1, `${key} ran ${counts.get(key)} times`);
-    if (own.every((word) => word.outcome === "not-run")) assert.is(counts.get(key) ?? 0, 0);
-    if (own.some((word) => word.status === 200)) assert.is(counts.get(key), 1);
+    if (own.every((result) => result.outcome === "not-run")) assert.is(counts.get(key) ?? 0, 0);
+    if (own.some((result) => result.status === 200)) assert.is(counts.get(key), 1);
   }
 });
 
--- a/packages/daemon/tests/badInput.test.ts
+++ b/packages/daemon/tests/badInput.test.ts
@@ -12,7 +12,7 @@
   daemons: 1,
   daemonFlags: ["--body-limit", String(BODY_LIMIT)],
 });
-const suite = uvu.suite("bad input, over sockets");
+const suite = uvu.suite("invalid input, over sockets");
 
 suite.before(() => fleet.start());
 suite.after(() => {
@@ -38,7 +38,7 @@
 
 const CHAT = "/v1/chat/completions";
 const CASES: [string, string, string, Record<string, string>, string][] = [
-  ["no JSON", CHAT, "{", {}, "bad-request"],
+  ["a body that is not JSON", CHAT, "{", {}, "bad-request"],
   ["no prompt", CHAT, '{"model":"assist-llm"}', {}, "bad-request"],
   ["an unknown model", CHAT, '{"model":"gate","prompt":"x"}', {}, "unknown-service"],
   ["an unknown service", "/v1/services/gate/x", "", {}, "unknown-service"],
@@ -51,7 +51,7 @@
 ];
 
 for (const [name, path, body, headers, title] of CASES) {
-  suite(`${name} gets a problem that names the remedy`, async () => {
+  suite(`${name} returns a problem with a remedy`, async () => {
     const [status, problem] = await post(path, body, headers);
     assert.ok(status >= 400 && status < 500);
     assert.is(problem.title, title);
@@ -62,10 +62,10 @@
 }
 
 /*
- * A caller sends a body without end. The daemon stops reading at the limit and
- * closes the connection; it never holds the body.
+ * A caller sends an endless body. The daemon must stop reading at the limit and
+ * close the connection instead of buffering the body.
  */
-suite("a body without end is cut off at the limit", async () => {
+suite("an endless body is rejected at the limit", async () => {
   const { port } = new URL(fleet.daemon(0).url);
   const received = await new Promise<string>((resolve) => {
     let text = "";
@@ -74,9 +74,9 @@
         `POST ${CHAT} HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${standIns.TEAM_TOKEN}\r\ntransfer-encoding: chunked\r\n\r\n`,
       );
       const chunk = `1000\r\n${"x".repeat(4096)}\r\n`;
-      const pump = setInterval(() => socket.write(chunk), 5);
+      const writeTimer = setInterval(() => socket.write(chunk), 5);
       socket.once("close", () => {
-        clearInterval(pump);
+        clearInterval(writeTimer);
         resolve(text);
       });
     });
@@ -87,7 +87,7 @@
   await assertServing();
 });
 
-suite("no body and no header brings the daemon down", async () => {
+suite("no body or path crashes the daemon", async () => {
   const property = fastCheck.asyncProperty(
     fastCheck.string({ maxLength: 200 }),
     fastCheck.json({ maxDepth: 3 }),
--- a/packages/daemon/tests/configuration.test.ts
+++ b/packages/daemon/tests/configuration.test.ts
@@ -5,7 +5,7 @@
 const DAEMONS = 9;
 
 const fleet = new standIns.Fleet({ engines: 0, services: 1, daemons: DAEMONS });
-const suite = uvu.suite("configuration, over processes");
+const suite = uvu.suite("configuration changes, with processes");
 
 suite.before(() => fleet.start());
 suite.after(() => {
@@ -24,16 +24,16 @@
   return record.version;
 }
 
-function inForceEverywhere(deadlineMs: number): Promise<boolean> {
+function isAppliedEverywhere(deadlineMs: number): Promise<boolean> {
   return standIns.until(async () => (await deadlines()).every((deadline) => deadline === deadlineMs));
 }
 
 /*
- * Five operators change one team's document at the same moment, each on the
- * version that it has read. One is accepted; the others are told of a conflict
- * that shows both sides. All nine daemons come to have the accepted one.
+ * Five operators change a team's document concurrently, based on the same
+ * version. One change is accepted; the others get a conflict that shows both
+ * documents. All nine daemons apply the accepted one.
  */
-suite("of racing changes one is accepted and none is lost silently", async () => {
+suite("one of several concurrent changes is accepted, the others get a conflict", async () => {
   const version = await currentVersion();
   const replies = await Promise.all(
     [1001, 1002, 1003, 1004, 1005].map((plainDeadlineMs, index) =>
@@ -47,68 +47,68 @@
   assert.is(problem.title, "configuration-conflict");
   assert.match(problem.detail, "theirs:");
   assert.match(problem.detail, "yours:");
-  assert.ok(await inForceEverywhere(1001 + replies.findIndex((reply) => reply.status === 200)));
+  assert.ok(await isAppliedEverywhere(1001 + replies.findIndex((reply) => reply.status === 200)));
 });
 
 /*
- * The reply to the accepting write is lost. The daemon reads the record back,
- * finds its own attempt in it and tells the operator that it is accepted.
+ * The reply to the write of a change is lost. The daemon reads the record back,
+ * finds its own attempt id in it and reports the change as accepted.
  */
-suite("a lost reply to the accepting write is settled by reading back", async () => {
+suite("a lost reply to the write of a change is resolved by reading back", async () => {
   const version = await currentVersion();
   await fleet.fault(fleet.keyValueUrl, { dropReplies: 1 });
   const reply = await fleet.apply(fleet.document({ plainDeadlineMs: 2000 }), version);
   await fleet.fault(fleet.keyValueUrl, { dropReplies: 0 });
   assert.ok(reply.status === 200 || (await currentVersion()) === version + 1);
-  assert.ok(await inForceEverywhere(2000));
+  assert.ok(await isAppliedEverywhere(2000));
 });
 
 /*
- * The key-value service goes down the moment a change is accepted. The daemon
- * that wrote it tells its peers directly, so it is in force during the outage;
- * after the outage nothing goes back.
+ * The key-value service goes down right after a change is accepted. The daemon
+ * that wrote it pushes it to its peers directly, so that all apply it during the
+ * outage. It stays applied after the outage.
  */
-suite("a change accepted just before an outage is in force during it", async () => {
+suite("a change accepted just before an outage is applied during it", async () => {
   const version = await currentVersion();
   const reply = await fleet.apply(fleet.document({ plainDeadlineMs: 3000 }), version, 4);
   await fleet.fault(fleet.keyValueUrl, { down: true });
   assert.is(reply.status, 200);
-  assert.ok(await inForceEverywhere(3000));
+  assert.ok(await isAppliedEverywhere(3000));
   await fleet.fault(fleet.keyValueUrl, { down: false });
   assert.ok(await standIns.until(async () => (await currentVersion()) === version + 1));
-  assert.ok(await inForceEverywhere(3000));
+  assert.ok(await isAppliedEverywhere(3000));
 });
 
 /*
- * A daemon is stopped in its tracks while a change is accepted. When it goes on
- * it comes to the accepted document, and never shows an older one afterwards.
+ * A daemon is paused (SIGSTOP) while a change is accepted. After it resumes it
+ * applies the accepted document.
  */
-suite("a daemon that was paused comes to the accepted document", async () => {
+suite("a daemon that was paused applies the accepted document", async () => {
   fleet.daemon(8).child.kill("SIGSTOP");
   const reply = await fleet.apply(fleet.document({ plainDeadlineMs: 4000 }), await currentVersion());
   fleet.daemon(8).child.kill("SIGCONT");
   assert.is(reply.status, 200, await reply.text());
-  assert.ok(await inForceEverywhere(4000));
+  assert.ok(await isAppliedEverywhere(4000));
 });
 
 /*
- * Connections of the watches go silent for good. Each daemon notices that the
- * service's progress is missing and watches anew; the next change, written by a
- * daemon that then dies before it could tell its peers, is still in force.
+ * The open watch connections go permanently silent. Each daemon notices that the
+ * progress notifications are missing and opens a new watch, and the next change
+ * is applied everywhere.
  */
-suite("silent watches are opened anew", async () => {
+suite("silent watches are reopened", async () => {
   await fleet.fault(fleet.keyValueUrl, { silenceOpenConnections: true });
   await standIns.until(
     async () => (await fleet.apply(fleet.document({ plainDeadlineMs: 6000 }), await currentVersion())).ok,
   );
-  assert.ok(await inForceEverywhere(6000));
+  assert.ok(await isAppliedEverywhere(6000));
 });
 
 /*
- * A team's token asks for another team's subtree, and somebody without a token
- * for any. Both are refused; nothing is changed.
+ * A team's token is used for the configuration of another team (403), and a
+ * request has no token (401).
  */
-suite("a team's token reaches its own subtree only", async () => {
+suite("a team's token gives access only to the team's own configuration", async () => {
   const { adminUrl } = fleet.daemon(0);
   const headers = { authorization: `Bearer ${standIns.TEAM_TOKEN}` };
   assert.is((await fetch(`${adminUrl}/admin/teams/leoben`, { headers })).status, 200);
--- a/packages/daemon/tests/crashedChange.test.ts
+++ b/packages/daemon/tests/crashedChange.test.ts
@@ -5,7 +5,7 @@
 const ENGINE_FLAGS = ["--speed", "2"];
 
 const fleet = new standIns.Fleet({ engines: 2, services: 0, daemons: 3, engineFlags: ENGINE_FLAGS });
-const suite = uvu.suite("an engine that crashes in the middle of a change, over processes");
+const suite = uvu.suite("an engine that crashes during a role change, with processes");
 
 suite.before(() => fleet.start());
 suite.after(() => {
@@ -22,12 +22,12 @@
 }
 
 /*
- * An engine has been ordered into a role and crashes before it has confirmed.
- * Callers are served by the other engine meanwhile. The engine comes back in its
- * old role; the order goes out again under the same record, nothing else is
- * ordered, and the engine takes work again only in the role asked for.
+ * An engine crashes after it was ordered into a role and before it confirmed. The
+ * other engine serves the callers meanwhile. The engine restarts in its old role;
+ * the same order is sent again and no other one, and the engine gets work again
+ * only in the target role.
  */
-suite("the change is taken up again and nothing conflicts", async () => {
+suite("the role change is resumed without conflicting orders", async () => {
   const [crashing] = fleet.engines;
   if (!crashing) throw new Error("no engine");
   await fleet.configure({ roles: ["prefill", "mixed"] });
--- a/packages/daemon/tests/lateAnswers.test.ts
+++ b/packages/daemon/tests/lateAnswers.test.ts
@@ -4,7 +4,7 @@
 import * as uvu from "uvu";
 import * as assert from "uvu/assert";
 
-/** An endpoint that misbehaves as the call's body says. */
+/** An endpoint whose failure is selected by the request body. */
 const endpoint = http.createServer((request, response) => {
   let body = "";
   request.on("data", (chunk: Buffer) => (body += chunk.toString()));
@@ -21,7 +21,7 @@
 const received: string[] = [];
 
 const fleet = new standIns.Fleet({ engines: 1, services: 1, daemons: 1 });
-const suite = uvu.suite("late, crossed and cut answers, over sockets");
+const suite = uvu.suite("mismatched, truncated and refused answers, over sockets");
 
 suite.before(async () => {
   await new Promise<void>((resolve) => endpoint.listen(0, "127.0.0.1", resolve));
@@ -44,43 +44,43 @@
 }
 
 /*
- * The endpoint answers a call with the answer to another one. The nonce tells;
- * the caller is told that the outcome is unknown, and nothing is sent again.
+ * The endpoint returns the answer to another call, which its request id reveals.
+ * The caller gets outcome "unknown", and the call is not retried.
  */
-suite("an answer to another call is never passed on", async () => {
-  const word = await send("crossed");
-  assert.is(word.status, 502);
-  assert.is(word.outcome, "unknown");
-  assert.not.match(word.text, "answer to another call");
+suite("an answer to another call is never forwarded", async () => {
+  const result = await send("crossed");
+  assert.is(result.status, 502);
+  assert.is(result.outcome, "unknown");
+  assert.not.match(result.text, "answer to another call");
   assert.is(received.filter((body) => body === "crossed").length, 1);
 });
 
 /*
- * The endpoint's answer breaks off. The caller gets no half answer but the word
- * that the outcome is unknown, and the call is not sent again.
+ * The endpoint closes the connection in the middle of its answer. The caller gets
+ * outcome "unknown" instead of half an answer, and the call is not retried.
  */
-suite("half an answer is never passed on", async () => {
-  const word = await send("cut");
-  assert.is(word.outcome, "unknown");
-  assert.not.match(word.text, "half of it");
+suite("a truncated answer is never forwarded", async () => {
+  const result = await send("cut");
+  assert.is(result.outcome, "unknown");
+  assert.not.match(result.text, "half of it");
   assert.is(received.filter((body) => body === "cut").length, 1);
 });
 
 /*
- * The endpoint says itself that it did not run the call. It is tried again within
- * the budget, and the caller's final word is "not run".
+ * The endpoint reports that it did not run the call. The call may be retried
+ * within the budget, and the caller's final outcome is "not-run".
  */
-suite("an endpoint's own refusal is passed on as not run", async () => {
-  const word = await send("refused");
-  assert.is(word.outcome, "not-run");
+suite("a call refused by the endpoint ends as not run", async () => {
+  const result = await send("refused");
+  assert.is(result.outcome, "not-run");
   assert.ok(received.filter((body) => body === "refused").length >= 1);
 });
 
 /*
- * A caller asks for a stream and then takes nothing in, without closing. The
- * daemon goes on serving others meanwhile.
+ * A caller requests a stream and never reads it, without closing its connection.
+ * The daemon must continue to serve other callers.
  */
-suite("a caller that reads nothing harms nobody else", async () => {
+suite("a caller that never reads doesn't affect other callers", async () => {
   const { port } = new URL(fleet.daemon(0).url);
   const body = JSON.stringify({ model: "assist-llm", prompt: "x", max_tokens: 2000, stream: true });
   const head = `POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${standIns.TEAM_TOKEN}\r\ncontent-length: ${body.length}\r\n\r\n`;
@@ -88,7 +88,7 @@
   socket.pause();
   const read = await standIns.readStream(await fleet.ask(0, "meanwhile", 10));
   assert.ok(read.complete);
-  // The endpoint has failed three times above and rests for a while.
+  // The endpoint has failed three times in the tests above and is in backoff for a while.
   assert.ok(await standIns.until(async () => (await send("fine")).text === "done fine"));
   socket.destroy();
 });
--- a/packages/daemon/tests/outage.test.ts
+++ b/packages/daemon/tests/outage.test.ts
@@ -2,51 +2,52 @@
 import * as uvu from "uvu";
 import * as assert from "uvu/assert";
 
-/** Longer than a lease lives, so that every registration ends meanwhile. */
+/** Longer than the lease TTL, so that every registration expires during the outage. */
 const OUTAGE_MS = 12_000;
 const SLOW_MS = 2500;
 
 const fleet = new standIns.Fleet({ engines: 2, services: 1, daemons: 3 });
-const suite = uvu.suite("outages of the key-value service, over processes");
+const suite = uvu.suite("outages of the key-value service, with processes");
 
 suite.before(() => fleet.start());
 suite.after(() => {
   fleet.stop();
 });
 
-async function askFor(milliseconds: number, name: string): Promise<{ asked: number; answered: number }> {
+async function sendRequestsFor(milliseconds: number, name: string): Promise<{ sent: number; answered: number }> {
   const end = Date.now() + milliseconds;
-  let [asked, answered] = [0, 0];
+  let [sent, answered] = [0, 0];
   while (Date.now() < end) {
-    const prompt = `${name} ${asked}`;
-    const read = await standIns.readStream(await fleet.ask(asked % 3, prompt, 5));
+    const prompt = `${name} ${sent}`;
+    const read = await standIns.readStream(await fleet.ask(sent % 3, prompt, 5));
     if (read.complete && read.text === standIns.wholeAnswer(prompt, 5)) answered++;
-    asked++;
+    sent++;
   }
-  return { asked, answered };
+  return { sent, answered };
 }
 
 /*
- * The key-value service is down for longer than any lease lives. Model requests
- * go on from the last view at every daemon. Afterwards claims work again.
+ * The key-value service is down for longer than the lease TTL. Every daemon
+ * continues to serve model requests from its last known view, and claims work
+ * again after the outage.
  */
-suite("idempotent serving goes on through an outage", async () => {
+suite("idempotent requests are served during an outage", async () => {
   await fleet.fault(fleet.keyValueUrl, { down: true });
-  const served = await askFor(OUTAGE_MS, "outage");
-  assert.is(served.answered, served.asked);
+  const served = await sendRequestsFor(OUTAGE_MS, "outage");
+  assert.is(served.answered, served.sent);
   await fleet.fault(fleet.keyValueUrl, { down: false });
   assert.ok(await standIns.until(async () => (await fleet.printLabel(0, "after-outage")).status === 200));
 });
 
 /*
- * The service answers later than any caller of it waits. That is no different
- * from an outage: model requests go on, and a claim that can't be settled is
- * refused, not held.
+ * The key-value service responds later than the timeouts of its clients, which
+ * amounts to an outage: model requests are still served, and a call whose claim
+ * can't be written is rejected instead of held.
  */
-suite("idempotent serving goes on while the service is slow", async () => {
+suite("idempotent requests are served while the service is slow", async () => {
   await fleet.fault(fleet.keyValueUrl, { slowMs: SLOW_MS });
-  const served = await askFor(OUTAGE_MS / 2, "slow");
-  assert.is(served.answered, served.asked);
+  const served = await sendRequestsFor(OUTAGE_MS / 2, "slow");
+  assert.is(served.answered, served.sent);
   const label = await fleet.printLabel(1, "while-slow");
   assert.is(label.status, 503);
   assert.is(label.headers.get("x-outcome"), "not-run");
--- a/packages/daemon/tests/peerClients.test.ts
+++ b/packages/daemon/tests/peerClients.test.ts
@@ -7,12 +7,11 @@
 const suite = uvu.suite("calls between daemons, over sockets");
 
 /*
- * A duplicate waits at another daemon for the answer of the call that runs
- * there, while a heartbeat to the same daemon goes unanswered. Giving up the
- * heartbeat must not end the wait: its caller would be told "unknown" though
- * the call runs and its answer comes.
+ * A duplicate request waits at another daemon for the answer of the running call
+ * while a heartbeat to the same daemon times out. The timeout must not abort the
+ * wait: the caller would get outcome "unknown" although the call succeeds.
  */
-suite("a call that times out doesn't end the others to the same daemon", async () => {
+suite("a call that times out doesn't abort other calls to the same daemon", async () => {
   const waiting: http.ServerResponse[] = [];
   const server = http.createServer((request, response) => {
     if (request.url?.endsWith("/Exchange")) return;
@@ -24,7 +23,7 @@
   const joined = clients.call(url, (client) => client.joinAttempt({}, { timeoutMs: 60_000 }));
   const exchanged = await clients.call(url, (client) => client.exchange({}, { timeoutMs: 50 }));
   assert.is(exchanged, undefined);
-  // On a busy VM the wait may reach the server after the heartbeat was given up.
+  // On a busy VM the join request may reach the server after the heartbeat has timed out.
   while (waiting.length === 0) await new Promise((resolve) => setTimeout(resolve, 5));
   for (const response of waiting) response.writeHead(200, { "content-type": "application/proto" }).end();
   assert.ok(await joined);
--- a/packages/daemon/tests/plannedChanges.test.ts
+++ b/packages/daemon/tests/plannedChanges.test.ts
@@ -5,14 +5,14 @@
 const TOKENS = 120;
 
 const fleet = new standIns.Fleet({ engines: 3, services: 2, daemons: 3, engineFlags: ["--speed", "2"] });
-const suite = uvu.suite("planned changes, over processes");
+const suite = uvu.suite("operator changes and graceful shutdown, with processes");
 
 suite.before(() => fleet.start());
 suite.after(() => {
   fleet.stop();
 });
 
-/** Begins streams through all daemons; the returned promise tells how many ended whole. */
+/** Starts streams through the given daemons; the inner promise resolves to the number of complete ones. */
 async function beginStreams(name: string, count: number, daemons: readonly number[]): Promise<Promise<number>> {
   const replies = await Promise.all(
     Array.from({ length: count }, (_, index) =>
@@ -23,7 +23,7 @@
     const read = await standIns.readStream(reply);
     return read.complete && read.text === standIns.wholeAnswer(`${name} ${index}`, TOKENS);
   });
-  return Promise.all(reads).then((whole) => whole.filter(Boolean).length);
+  return Promise.all(reads).then((complete) => complete.filter(Boolean).length);
 }
 
 async function startedAt(engine: number): Promise<number> {
@@ -41,12 +41,12 @@
 }
 
 /*
- * An operator drains an engine while thirty long streams run, one daemon being
- * cut off from the key-value service by its own silence. The change is in force
- * at every daemon when the operator is told so; from then on the engine gets
- * nothing new, and what ran there ends whole.
+ * An operator drains an engine while thirty long streams run and the open
+ * connections to the key-value service are silent. Every daemon has applied the
+ * change when the operator gets the confirmation; from then on the engine gets
+ * no new requests, and its running ones complete.
  */
-suite("a drained engine gets no new work and nothing there is cut", async () => {
+suite("a drained engine gets no new work and its streams complete", async () => {
   const before = await beginStreams("before drain", 30, [0, 1, 2]);
   await fleet.fault(fleet.keyValueUrl, { silenceOpenConnections: true });
   await fleet.configure({ draining: ["engine-1"] });
@@ -59,10 +59,10 @@
 });
 
 /*
- * The operator takes the drain back and asks for roles, while streams run. Each
- * engine is drained, ordered once, and serves its new role; no stream is cut.
+ * The operator undoes the drain and assigns roles while streams run. Each engine
+ * is drained, ordered and then serves its new role; no stream is interrupted.
  */
-suite("role changes cut nothing", async () => {
+suite("role changes interrupt no stream", async () => {
   const streams = await beginStreams("roles", 30, [0, 1, 2]);
   await fleet.configure({ roles: ["prefill", "decode", "mixed"] });
   assert.is(await streams, 30);
@@ -84,20 +84,20 @@
 });
 
 /*
- * A daemon is stopped as planned while callers have streams at it. It drops out
- * of the addresses, serves on, and ends when the last stream has ended.
+ * A daemon shuts down gracefully while callers have open streams. It is removed
+ * from the addresses, continues to serve, and exits after the last stream ends.
  */
-suite("a planned stop of a daemon cuts nothing", async () => {
+suite("a graceful shutdown of a daemon interrupts no stream", async () => {
   const streams = await beginStreams("stop", 20, [0]);
   const { child } = fleet.daemon(0);
   const exited = new Promise<number | null>((resolve) => child.once("exit", resolve));
   child.kill("SIGTERM");
-  const gone = await standIns.until(async () => {
+  const isRemoved = await standIns.until(async () => {
     const reply = await fetch(`${fleet.daemon(1).url}/v1/addresses`);
     const { addresses } = (await reply.json()) as { addresses: { vm: string }[] };
     return addresses.every((address) => address.vm !== "vm-1");
   });
-  assert.ok(gone);
+  assert.ok(isRemoved);
   const late = await fleet.ask(0, "late caller", 10);
   assert.is(late.status, 200);
   await late.body?.cancel();
--- a/packages/daemon/tests/staleHolder.test.ts
+++ b/packages/daemon/tests/staleHolder.test.ts
@@ -2,7 +2,7 @@
 import * as uvu from "uvu";
 import * as assert from "uvu/assert";
 
-const LEASE_GONE_MS = 14_000;
+const LEASE_EXPIRY_MS = 14_000;
 const VMS = ["vm-1", "vm-2", "vm-3"];
 
 const fleet = new standIns.Fleet({
@@ -11,7 +11,7 @@
   daemons: 3,
   engineFlags: ["--speed", "4", "--ignores-fencing"],
 });
-const suite = uvu.suite("stale holder, over processes");
+const suite = uvu.suite("stale lease holder, with processes");
 
 suite.before(() => fleet.start({ checksFencing: false }));
 suite.after(() => {
@@ -22,8 +22,8 @@
   readonly leases: { readonly shard: string; readonly vm: string }[];
 }
 
-async function holder(ask: number): Promise<number> {
-  const status = await fleet.admin<Status>(ask, "/admin/status");
+async function holder(daemon: number): Promise<number> {
+  const status = await fleet.admin<Status>(daemon, "/admin/status");
   return VMS.indexOf(status.leases[0]?.vm ?? "");
 }
 
@@ -33,20 +33,20 @@
 }
 
 /*
- * The daemon that holds the lease is stopped in its tracks while it changes an
- * engine that takes any order. Its lease runs out and another daemon takes
- * over. The stopped one goes on, believing for a moment that it still holds the
- * lease. The engine's journal shows no conflicting and no stale order, and in
- * the end both engines have the roles that the operator asked for.
+ * The lease holder is paused (SIGSTOP) while it changes engines that ignore
+ * fencing and accept any order. Its lease expires and another daemon takes over.
+ * After it resumes, the old holder briefly assumes that it still holds the lease.
+ * It must send no conflicting or stale order, and both engines must end in the
+ * roles that the operator assigned.
  */
-suite("a holder that was paused over the end of its lease gives no stale order", async () => {
+suite("a holder paused past the expiry of its lease sends no stale order", async () => {
   assert.ok(await standIns.until(async () => (await holder(0)) >= 0));
   const paused = await holder(0);
   const other = (paused + 1) % 3;
   void fleet.configure({ roles: ["prefill", "decode"], checksFencing: false }, other);
   await standIns.until(async () => (await ordersOf(0)).length + (await ordersOf(1)).length > 0);
   fleet.daemon(paused).child.kill("SIGSTOP");
-  await new Promise((resolve) => setTimeout(resolve, LEASE_GONE_MS));
+  await new Promise((resolve) => setTimeout(resolve, LEASE_EXPIRY_MS));
   fleet.daemon(paused).child.kill("SIGCONT");
   const settled = await standIns.until(async () => {
     const endpoints = await fleet.admin<{ order: string }[]>(other, "/admin/endpoints");
--- a/packages/daemon/tests/wholeAnswers.test.ts
+++ b/packages/daemon/tests/wholeAnswers.test.ts
@@ -3,11 +3,11 @@
 import * as assert from "uvu/assert";
 
 const TOKENS = 150;
-/** Pieces after which the failure comes, well before the end. */
-const PIECES_BEFORE_FAILURE = 10;
+/** Number of chunks before the failure is injected, well before the end of the answer. */
+const CHUNKS_BEFORE_FAILURE = 10;
 
 const fleet = new standIns.Fleet({ engines: 3, services: 0, daemons: 3, engineFlags: ["--speed", "1"] });
-const suite = uvu.suite("whole answers, over processes");
+const suite = uvu.suite("complete answers, with processes");
 
 suite.before(() => fleet.start());
 suite.after(() => {
@@ -23,11 +23,11 @@
 }
 
 /*
- * Forty callers ask at once, through all daemons, in both forms. Each gets the
- * answer that an engine makes of its own prompt, byte by byte.
+ * Forty callers send requests concurrently through all daemons, half of them
+ * streaming. Each gets exactly the answer to its own prompt.
  */
-suite("each caller gets the whole answer to its own request", async () => {
-  const asked = Array.from({ length: 40 }, async (_, index) => {
+suite("each caller gets the complete answer to its own request", async () => {
+  const requests = Array.from({ length: 40 }, async (_, index) => {
     const prompt = `dossier ${index}`;
     const reply = await fleet.ask(index % 3, prompt, 30, index % 2 === 0);
     const expected = standIns.wholeAnswer(prompt, 30);
@@ -40,21 +40,21 @@
     const body = (await reply.json()) as { choices: { message: { content: string } }[] };
     assert.is(body.choices[0]?.message.content, expected);
   });
-  await Promise.all(asked);
+  await Promise.all(requests);
 });
 
 /*
- * In the middle of an answer the connection to the engine goes silent for good,
- * while new connections work. The daemon notices that the heartbeats are
- * missing, opens a new connection and takes the stream up where it was.
+ * In the middle of an answer the connection to the engine goes permanently silent,
+ * while new connections work. The daemon notices the missing heartbeats, opens a
+ * new connection and resumes the stream.
  */
-suite("a connection to the engine that goes silent", async () => {
+suite("a stream is resumed after its connection to the engine goes silent", async () => {
   const prompt = "silent engine";
   const reply = await fleet.ask(0, prompt, TOKENS);
-  let struck = false;
-  const read = await standIns.readStream(reply, (pieces) => {
-    if (pieces >= PIECES_BEFORE_FAILURE && !struck) {
-      struck = true;
+  let faultInjected = false;
+  const read = await standIns.readStream(reply, (chunks) => {
+    if (chunks >= CHUNKS_BEFORE_FAILURE && !faultInjected) {
+      faultInjected = true;
       for (const engine of fleet.engines) void fleet.fault(engine.url, { silenceOpenConnections: true });
     }
     return true;
@@ -64,14 +64,14 @@
 });
 
 /*
- * The caller's daemon is killed in the middle of an answer. The caller goes to
- * another daemon with the id of the last event that it has, and gets the rest.
+ * The caller's daemon is killed in the middle of an answer. The caller sends the
+ * id of its last event to another daemon and gets the rest.
  */
-suite("a caller takes its stream up through another daemon", async () => {
+suite("a caller resumes its stream through another daemon", async () => {
   const prompt = "daemon dies";
   const reply = await fleet.ask(2, prompt, TOKENS);
-  const first = await standIns.readStream(reply, (pieces) => {
-    if (pieces === PIECES_BEFORE_FAILURE) fleet.daemon(2).child.kill("SIGKILL");
+  const first = await standIns.readStream(reply, (chunks) => {
+    if (chunks === CHUNKS_BEFORE_FAILURE) fleet.daemon(2).child.kill("SIGKILL");
     return true;
   });
   assert.not(first.complete);
@@ -82,15 +82,15 @@
 });
 
 /*
- * The engine is killed in the middle of an answer. The daemon runs the request
- * again on another engine, checks that the beginning is the same, and goes on.
+ * The engine is killed in the middle of an answer. The daemon retries the request
+ * on another engine, checks that the answer begins with the same chunks, and continues.
  */
-suite("an engine that dies in the middle of an answer", async () => {
+suite("a stream is continued on another engine after its engine dies", async () => {
   const prompt = "engine dies";
   const reply = await fleet.ask(0, prompt, TOKENS);
   let killed = false;
-  const read = await standIns.readStream(reply, (pieces) => {
-    if (pieces >= PIECES_BEFORE_FAILURE && !killed) {
+  const read = await standIns.readStream(reply, (chunks) => {
+    if (chunks >= CHUNKS_BEFORE_FAILURE && !killed) {
       killed = true;
       void engineOf(prompt).then((engine) => engine?.child.kill("SIGKILL"));
     }
