--- a/packages/daemon/src/peerServer.ts
+++ b/packages/daemon/src/peerServer.ts
@@ -7,7 +7,7 @@
 import type * as daemon from "./daemon.js";
 import * as messages from "./peerMessages.js";
 
-/** Serves the other daemons. */
+/** Serves the calls of other daemons. */
 export class PeerServer {
   readonly #daemon: daemon.Daemon;
   readonly handler: http.RequestListener;
@@ -65,14 +65,24 @@
   }> {
     const { key, digest, incarnation, attempt, asker } = request;
     const owner = { vm: asker?.vm ?? "", incarnation: asker?.incarnation ?? "", attempt: asker?.attempt ?? "" };
-    const joined = await this.#daemon.joinForPeer({ key, digest, incarnation, attempt, asker: owner });
+    const joined = await this.#daemon.joinForPeer({
+      key,
+      digest,
+      incarnation,
+      attempt,
+      asker: owner,
+    });
     const { answer, movedTo } = joined;
-    return { verdict: messages.joinVerdictToWire(joined.verdict), ...(answer ?? {}), ...(movedTo ? { movedTo } : {}) };
+    return {
+      verdict: messages.joinVerdictToWire(joined.verdict),
+      ...(answer ?? {}),
+      ...(movedTo ? { movedTo } : {}),
+    };
   }
 
   #depose(request: protocol.DeposeRequest): { incarnation: string; reset: boolean } {
     this.#daemon.handle({ type: core.EventType.DeposeAsked, shard: request.shard, epoch: Number(request.epoch) });
-    this.#daemon.resetOrders();
+    this.#daemon.resetOrderConnections();
     return { incarnation: this.#daemon.core.registration.incarnation, reset: true };
   }
 
@@ -86,8 +96,8 @@
   }
 }
 
-/** An event of a peer's time line. */
-export interface RemoteEvent {
+/** A timeline event received from a peer. */
+export interface PeerTimelineEvent {
   readonly stamp: common.HybridTimestamp;
   readonly vm: string;
   readonly kind: string;
@@ -96,10 +106,12 @@
 }
 
 /**
- * @param event - as it came
+ * Converts a timeline event from its protocol message.
+ *
+ * @param event - the received message
  * @returns the event
  */
-export function timelineEventFromWire(event: protocol.TimelineEvent): RemoteEvent {
+export function timelineEventFromWire(event: protocol.TimelineEvent): PeerTimelineEvent {
   return {
     stamp: { wallMs: Number(event.wallMs), counter: event.counter },
     vm: event.vm,
