--- a/packages/measure/src/engineFleet.ts
+++ b/packages/measure/src/engineFleet.ts
@@ -103,7 +103,7 @@
    * @returns whether a role change keeps it away
    */
   isAway(engine: number): boolean {
-    return this.#engine(engine).isAway(this.now);
+    return this.#engine(engine).isUnavailable(this.now);
   }
 
   /**
@@ -113,7 +113,7 @@
    */
   submit(engine: number, job: standIns.EngineJob, listener: JobListener): void {
     const model = this.#engine(engine);
-    if (model.isAway(this.now) || !model.accepts(job.part)) {
+    if (model.isUnavailable(this.now) || !model.accepts(job.part)) {
       this.after(1, () => {
         listener.onRefused();
       });
--- a/packages/stand-ins/src/engine.ts
+++ b/packages/stand-ins/src/engine.ts
@@ -85,7 +85,7 @@
     const body = parsed.data;
     const id = context.req.header("x-request-id") ?? crypto.randomUUID();
     const part = partOf(body.kv_transfer_params);
-    if (this.#model.isAway(this.#now())) return refuse(context, 503, "changing-role");
+    if (this.#model.isUnavailable(this.#now())) return refuse(context, 503, "changing-role");
     if (!this.#model.accepts(part)) return refuse(context, 409, "wrong-role");
     const prompt = body.prompt ?? (body.messages ?? []).map((message) => message.content).join("\n");
     const stream = this.#begin(id, part, prompt, body.max_tokens ?? DEFAULT_OUTPUT_TOKENS, body.priority ?? 0);
@@ -259,7 +259,7 @@
       `prompt_tokens_waiting ${Math.round(this.#model.waitingTokens)}`,
       `engine_role{role="${role}"} 1`,
       `last_order_number ${this.#lastOrder}`,
-      `role_change_under_way ${this.#model.isAway(this.#now()) ? 1 : 0}`,
+      `role_change_under_way ${this.#model.isUnavailable(this.#now()) ? 1 : 0}`,
       `prefix_cache_hits_total ${this.#model.prefixHits}`,
       "",
     ].join("\n");
--- a/packages/stand-ins/src/engineModel.ts
+++ b/packages/stand-ins/src/engineModel.ts
@@ -124,7 +124,7 @@
    * @param now - current time
    * @returns whether a role change keeps the engine away
    */
-  isAway(now: number): boolean {
+  isUnavailable(now: number): boolean {
     return now < this.#awayUntil;
   }
 
