--- a/packages/daemon/tests/atMostOnce.test.ts
+++ b/packages/daemon/tests/atMostOnce.test.ts
@@ -82,7 +82,7 @@
   assert.is(refused.outcome, "not-run");
   assert.is((await executions()).get("outage"), undefined);
   await fleet.fault(fleet.keyValueUrl, { down: false });
-  const answered = await standIns.until(async () => (await send(1, "outage")).status === 200);
+  const answered = await standIns.waitUntil(async () => (await send(1, "outage")).status === 200);
   assert.ok(answered);
   assert.is((await executions()).get("outage"), 1);
 });
--- a/packages/daemon/tests/configuration.test.ts
+++ b/packages/daemon/tests/configuration.test.ts
@@ -25,7 +25,7 @@
 }
 
 function inForceEverywhere(deadlineMs: number): Promise<boolean> {
-  return standIns.until(async () => (await deadlines()).every((deadline) => deadline === deadlineMs));
+  return standIns.waitUntil(async () => (await deadlines()).every((deadline) => deadline === deadlineMs));
 }
 
 /*
@@ -75,7 +75,7 @@
   assert.is(reply.status, 200);
   assert.ok(await inForceEverywhere(3000));
   await fleet.fault(fleet.keyValueUrl, { down: false });
-  assert.ok(await standIns.until(async () => (await currentVersion()) === version + 1));
+  assert.ok(await standIns.waitUntil(async () => (await currentVersion()) === version + 1));
   assert.ok(await inForceEverywhere(3000));
 });
 
@@ -98,7 +98,7 @@
  */
 suite("silent watches are opened anew", async () => {
   await fleet.fault(fleet.keyValueUrl, { silenceOpenConnections: true });
-  await standIns.until(
+  await standIns.waitUntil(
     async () => (await fleet.apply(fleet.document({ plainDeadlineMs: 6000 }), await currentVersion())).ok,
   );
   assert.ok(await inForceEverywhere(6000));
--- a/packages/daemon/tests/crashedChange.test.ts
+++ b/packages/daemon/tests/crashedChange.test.ts
@@ -31,7 +31,7 @@
   const [crashing] = fleet.engines;
   if (!crashing) throw new Error("no engine");
   await fleet.configure({ roles: ["prefill", "mixed"] });
-  assert.ok(await standIns.until(async () => (await ordersAt(crashing.url)).length > 0));
+  assert.ok(await standIns.waitUntil(async () => (await ordersAt(crashing.url)).length > 0));
   crashing.child.kill("SIGKILL");
   const read = await standIns.readStream(await fleet.ask(1, "meanwhile", 10));
   assert.ok(read.complete);
@@ -39,7 +39,7 @@
   const listen = new URL(crashing.url).host;
   await fleet.launcher.standIn(["engine", "--listen", listen, ...ENGINE_FLAGS]);
   assert.ok(
-    await standIns.until(async () => (await endpointRow())?.order.endsWith("settled prefill") ?? false, 60_000),
+    await standIns.waitUntil(async () => (await endpointRow())?.order.endsWith("settled prefill") ?? false, 60_000),
   );
   for (const order of await ordersAt(crashing.url)) {
     assert.is(order.role, "prefill");
--- a/packages/daemon/tests/lateAnswers.test.ts
+++ b/packages/daemon/tests/lateAnswers.test.ts
@@ -89,7 +89,7 @@
   const read = await standIns.readStream(await fleet.ask(0, "meanwhile", 10));
   assert.ok(read.complete);
   // The endpoint has failed three times above and rests for a while.
-  assert.ok(await standIns.until(async () => (await send("fine")).text === "done fine"));
+  assert.ok(await standIns.waitUntil(async () => (await send("fine")).text === "done fine"));
   socket.destroy();
 });
 
--- a/packages/daemon/tests/outage.test.ts
+++ b/packages/daemon/tests/outage.test.ts
@@ -35,7 +35,7 @@
   const served = await askFor(OUTAGE_MS, "outage");
   assert.is(served.answered, served.asked);
   await fleet.fault(fleet.keyValueUrl, { down: false });
-  assert.ok(await standIns.until(async () => (await fleet.printLabel(0, "after-outage")).status === 200));
+  assert.ok(await standIns.waitUntil(async () => (await fleet.printLabel(0, "after-outage")).status === 200));
 });
 
 /*
@@ -52,7 +52,7 @@
   assert.is(label.headers.get("x-outcome"), "not-run");
   assert.ok(Number(label.headers.get("retry-after")) > 0);
   await fleet.fault(fleet.keyValueUrl, { slowMs: 0 });
-  assert.ok(await standIns.until(async () => (await fleet.printLabel(1, "while-slow")).status === 200));
+  assert.ok(await standIns.waitUntil(async () => (await fleet.printLabel(1, "while-slow")).status === 200));
   const printed = await fleet.journal(fleet.services[0]?.url ?? "");
   assert.is(printed.filter((entry) => entry.key === "while-slow").length, 1);
 });
--- a/packages/daemon/tests/plannedChanges.test.ts
+++ b/packages/daemon/tests/plannedChanges.test.ts
@@ -55,7 +55,7 @@
   assert.is(await before, 30);
   assert.is(await after, 30);
   assert.is(await startedAt(0), started);
-  assert.ok(await standIns.until(async () => (await orderOf("leoben/engine-1")).includes("drained")));
+  assert.ok(await standIns.waitUntil(async () => (await orderOf("leoben/engine-1")).includes("drained")));
 });
 
 /*
@@ -67,7 +67,7 @@
   await fleet.configure({ roles: ["prefill", "decode", "mixed"] });
   assert.is(await streams, 30);
   assert.ok(
-    await standIns.until(
+    await standIns.waitUntil(
       async () =>
         (await orderOf("leoben/engine-1")).endsWith("settled prefill") &&
         (await orderOf("leoben/engine-2")).endsWith("settled decode"),
@@ -92,7 +92,7 @@
   const { child } = fleet.daemon(0);
   const exited = new Promise<number | null>((resolve) => child.once("exit", resolve));
   child.kill("SIGTERM");
-  const gone = await standIns.until(async () => {
+  const gone = await standIns.waitUntil(async () => {
     const reply = await fetch(`${fleet.daemon(1).url}/v1/addresses`);
     const { addresses } = (await reply.json()) as { addresses: { vm: string }[] };
     return addresses.every((address) => address.vm !== "vm-1");
--- a/packages/daemon/tests/staleHolder.test.ts
+++ b/packages/daemon/tests/staleHolder.test.ts
@@ -40,15 +40,15 @@
  * the end both engines have the roles that the operator asked for.
  */
 suite("a holder that was paused over the end of its lease gives no stale order", async () => {
-  assert.ok(await standIns.until(async () => (await holder(0)) >= 0));
+  assert.ok(await standIns.waitUntil(async () => (await holder(0)) >= 0));
   const paused = await holder(0);
   const other = (paused + 1) % 3;
   void fleet.configure({ roles: ["prefill", "decode"], checksFencing: false }, other);
-  await standIns.until(async () => (await ordersOf(0)).length + (await ordersOf(1)).length > 0);
+  await standIns.waitUntil(async () => (await ordersOf(0)).length + (await ordersOf(1)).length > 0);
   fleet.daemon(paused).child.kill("SIGSTOP");
   await new Promise((resolve) => setTimeout(resolve, LEASE_GONE_MS));
   fleet.daemon(paused).child.kill("SIGCONT");
-  const settled = await standIns.until(async () => {
+  const settled = await standIns.waitUntil(async () => {
     const endpoints = await fleet.admin<{ order: string }[]>(other, "/admin/endpoints");
     return endpoints.every((endpoint) => /settled (prefill|decode)$/.test(endpoint.order));
   }, 60_000);
--- a/packages/measure/src/outageMeasure.ts
+++ b/packages/measure/src/outageMeasure.ts
@@ -30,7 +30,7 @@
   const served = await ask(fleet, AWAY_MS);
   await fleet.fault(fleet.keyValueUrl, end);
   const rates = await callRates(fleet);
-  const claimed = await standIns.until(async () => (await fleet.printLabel(4, `after-${name}`)).ok);
+  const claimed = await standIns.waitUntil(async () => (await fleet.printLabel(4, `after-${name}`)).ok);
   return {
     measure: `${AWAY_MS / 1000} s ${name}, 9 daemons`,
     "model requests": served.asked,
--- a/packages/stand-ins/src/fleet.ts
+++ b/packages/stand-ins/src/fleet.ts
@@ -166,7 +166,7 @@
     if (!reply.ok) throw new Error(`the document was not accepted: ${await reply.text()}`);
     const { version, revision } = (await reply.json()) as { version: number; revision: number };
     this.#version = version;
-    await launcher.until(async () => {
+    await launcher.waitUntil(async () => {
       const inForce = await this.admin<{ pending: string[] }>(index, `/admin/in-force/${revision}`);
       return inForce.pending.length === 0;
     });
@@ -190,7 +190,7 @@
 
   /** Waits until every daemon hears all the others. */
   async meshed(): Promise<void> {
-    await launcher.until(async () => {
+    await launcher.waitUntil(async () => {
       const statuses = await Promise.all(
         this.daemons.map((_, index) => this.admin<{ livePeers: number }>(index, "/admin/status")),
       );
--- a/packages/stand-ins/src/launcher.ts
+++ b/packages/stand-ins/src/launcher.ts
@@ -101,7 +101,7 @@
  * @param limitMs - longest wait
  * @returns whether it came to hold
  */
-export async function until(condition: () => Promise<boolean> | boolean, limitMs = 20_000): Promise<boolean> {
+export async function waitUntil(condition: () => Promise<boolean> | boolean, limitMs = 20_000): Promise<boolean> {
   const end = Date.now() + limitMs;
   while (Date.now() < end) {
     const holds = await Promise.resolve()
