--- a/packages/daemon/tests/lateAnswers.test.ts
+++ b/packages/daemon/tests/lateAnswers.test.ts
@@ -30,7 +30,7 @@
   const [replaced] = fleet.services;
   if (replaced) fleet.services[0] = { ...replaced, url: `http://127.0.0.1:${port}` };
   await fleet.configure();
-  await fleet.meshed();
+  await fleet.waitUntilConnected();
 });
 suite.after(() => {
   endpoint.close();
--- a/packages/stand-ins/src/fleet.ts
+++ b/packages/stand-ins/src/fleet.ts
@@ -71,7 +71,7 @@
   async start(documentOptions: DocumentOptions = {}): Promise<void> {
     await this.startProcesses();
     await this.configure(documentOptions);
-    await this.meshed();
+    await this.waitUntilConnected();
   }
 
   /** Starts the stand-ins and the daemons; no team has a document yet. */
@@ -189,7 +189,7 @@
   }
 
   /** Waits until every daemon hears all the others. */
-  async meshed(): Promise<void> {
+  async waitUntilConnected(): Promise<void> {
     await launcher.waitUntil(async () => {
       const statuses = await Promise.all(
         this.daemons.map((_, index) => this.admin<{ livePeers: number }>(index, "/admin/status")),
--- a/scripts/demo.mjs
+++ b/scripts/demo.mjs
@@ -17,7 +17,7 @@
 async function main() {
   await fleet.startProcesses();
   await applyConfiguration();
-  await fleet.meshed();
+  await fleet.waitUntilConnected();
   const caller = new Caller(fleet.daemons);
   const calls = [];
   for (let index = 0; index < REQUESTS; index++) {
