--- a/packages/daemon/tests/badInput.test.ts
+++ b/packages/daemon/tests/badInput.test.ts
@@ -32,7 +32,7 @@
 }
 
 async function assertServing(): Promise<void> {
-  const read = await standIns.readStream(await fleet.ask(0, "still up", 3));
+  const read = await standIns.readStream(await fleet.requestCompletion(0, "still up", 3));
   assert.ok(read.complete);
 }
 
--- a/packages/daemon/tests/crashedChange.test.ts
+++ b/packages/daemon/tests/crashedChange.test.ts
@@ -33,7 +33,7 @@
   await fleet.configure({ roles: ["prefill", "mixed"] });
   assert.ok(await standIns.waitUntil(async () => (await ordersAt(crashing.url)).length > 0));
   crashing.child.kill("SIGKILL");
-  const read = await standIns.readStream(await fleet.ask(1, "meanwhile", 10));
+  const read = await standIns.readStream(await fleet.requestCompletion(1, "meanwhile", 10));
   assert.ok(read.complete);
   assert.is((await endpointRow())?.takesWork, false);
   const listen = new URL(crashing.url).host;
--- a/packages/daemon/tests/lateAnswers.test.ts
+++ b/packages/daemon/tests/lateAnswers.test.ts
@@ -86,7 +86,7 @@
   const head = `POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${standIns.TEAM_TOKEN}\r\ncontent-length: ${body.length}\r\n\r\n`;
   const socket = net.connect(Number(port), "127.0.0.1", () => socket.write(head + body));
   socket.pause();
-  const read = await standIns.readStream(await fleet.ask(0, "meanwhile", 10));
+  const read = await standIns.readStream(await fleet.requestCompletion(0, "meanwhile", 10));
   assert.ok(read.complete);
   // The endpoint has failed three times above and rests for a while.
   assert.ok(await standIns.waitUntil(async () => (await send("fine")).text === "done fine"));
--- a/packages/daemon/tests/outage.test.ts
+++ b/packages/daemon/tests/outage.test.ts
@@ -19,7 +19,7 @@
   let [asked, answered] = [0, 0];
   while (Date.now() < end) {
     const prompt = `${name} ${asked}`;
-    const read = await standIns.readStream(await fleet.ask(asked % 3, prompt, 5));
+    const read = await standIns.readStream(await fleet.requestCompletion(asked % 3, prompt, 5));
     if (read.complete && read.text === standIns.wholeAnswer(prompt, 5)) answered++;
     asked++;
   }
--- a/packages/daemon/tests/plannedChanges.test.ts
+++ b/packages/daemon/tests/plannedChanges.test.ts
@@ -16,7 +16,7 @@
 async function beginStreams(name: string, count: number, daemons: readonly number[]): Promise<Promise<number>> {
   const replies = await Promise.all(
     Array.from({ length: count }, (_, index) =>
-      fleet.ask(daemons[index % daemons.length] ?? 0, `${name} ${index}`, TOKENS),
+      fleet.requestCompletion(daemons[index % daemons.length] ?? 0, `${name} ${index}`, TOKENS),
     ),
   );
   const reads = replies.map(async (reply, index) => {
@@ -98,7 +98,7 @@
     return addresses.every((address) => address.vm !== "vm-1");
   });
   assert.ok(gone);
-  const late = await fleet.ask(0, "late caller", 10);
+  const late = await fleet.requestCompletion(0, "late caller", 10);
   assert.is(late.status, 200);
   await late.body?.cancel();
   assert.is(await streams, 20);
--- a/packages/daemon/tests/wholeAnswers.test.ts
+++ b/packages/daemon/tests/wholeAnswers.test.ts
@@ -29,7 +29,7 @@
 suite("each caller gets the whole answer to its own request", async () => {
   const asked = Array.from({ length: 40 }, async (_, index) => {
     const prompt = `dossier ${index}`;
-    const reply = await fleet.ask(index % 3, prompt, 30, index % 2 === 0);
+    const reply = await fleet.requestCompletion(index % 3, prompt, 30, index % 2 === 0);
     const expected = standIns.wholeAnswer(prompt, 30);
     if (index % 2 === 0) {
       const read = await standIns.readStream(reply);
@@ -50,7 +50,7 @@
  */
 suite("a connection to the engine that goes silent", async () => {
   const prompt = "silent engine";
-  const reply = await fleet.ask(0, prompt, TOKENS);
+  const reply = await fleet.requestCompletion(0, prompt, TOKENS);
   let struck = false;
   const read = await standIns.readStream(reply, (pieces) => {
     if (pieces >= PIECES_BEFORE_FAILURE && !struck) {
@@ -69,7 +69,7 @@
  */
 suite("a caller takes its stream up through another daemon", async () => {
   const prompt = "daemon dies";
-  const reply = await fleet.ask(2, prompt, TOKENS);
+  const reply = await fleet.requestCompletion(2, prompt, TOKENS);
   const first = await standIns.readStream(reply, (pieces) => {
     if (pieces === PIECES_BEFORE_FAILURE) fleet.daemon(2).child.kill("SIGKILL");
     return true;
@@ -87,7 +87,7 @@
  */
 suite("an engine that dies in the middle of an answer", async () => {
   const prompt = "engine dies";
-  const reply = await fleet.ask(0, prompt, TOKENS);
+  const reply = await fleet.requestCompletion(0, prompt, TOKENS);
   let killed = false;
   const read = await standIns.readStream(reply, (pieces) => {
     if (pieces >= PIECES_BEFORE_FAILURE && !killed) {
--- a/packages/measure/src/outageMeasure.ts
+++ b/packages/measure/src/outageMeasure.ts
@@ -54,7 +54,7 @@
 
 async function askOnce(fleet: standIns.Fleet, index: number): Promise<boolean> {
   const prompt = `outage ${index}`;
-  const reply = await fleet.ask(index % fleet.daemons.length, prompt, 8);
+  const reply = await fleet.requestCompletion(index % fleet.daemons.length, prompt, 8);
   const read = await standIns.readStream(reply);
   return read.complete && read.text === standIns.wholeAnswer(prompt, 8);
 }
--- a/packages/stand-ins/src/fleet.ts
+++ b/packages/stand-ins/src/fleet.ts
@@ -261,7 +261,7 @@
    * @param stream - whether it comes piece by piece
    * @returns the reply to a model request
    */
-  ask(index: number, prompt: string, tokens: number, stream = true): Promise<Response> {
+  requestCompletion(index: number, prompt: string, tokens: number, stream = true): Promise<Response> {
     return fetch(`${this.daemon(index).url}/v1/chat/completions`, {
       method: "POST",
       headers: { authorization: `Bearer ${TEAM_TOKEN}`, "content-type": "application/json" },
