--- a/packages/daemon/tests/atMostOnce.test.ts
+++ b/packages/daemon/tests/atMostOnce.test.ts
@@ -59,7 +59,7 @@
  * batches. The daemon reads the log back, finds its own claim and goes on.
  */
 suite("a lost reply to the claim's write costs nothing", async () => {
-  await fleet.fault(fleet.keyValueUrl, { dropReplies: 3 });
+  await fleet.setFaults(fleet.keyValueUrl, { dropReplies: 3 });
   const keys = Array.from({ length: 20 }, (_, index) => `lost-${index}`);
   const words = await Promise.all(keys.map((key, index) => send(index % 3, key)));
   const counts = await executions();
@@ -68,7 +68,7 @@
     else assert.is(word.outcome, "not-run");
     assert.ok((counts.get(word.key) ?? 0) <= 1);
   }
-  await fleet.fault(fleet.keyValueUrl, { dropReplies: 0 });
+  await fleet.setFaults(fleet.keyValueUrl, { dropReplies: 0 });
 });
 
 /*
@@ -76,12 +76,12 @@
  * with when to come back; nothing reaches a printer. Afterwards it runs.
  */
 suite("an outage refuses at once and truly", async () => {
-  await fleet.fault(fleet.keyValueUrl, { down: true });
+  await fleet.setFaults(fleet.keyValueUrl, { down: true });
   const refused = await send(0, "outage");
   assert.is(refused.status, 503);
   assert.is(refused.outcome, "not-run");
   assert.is((await executions()).get("outage"), undefined);
-  await fleet.fault(fleet.keyValueUrl, { down: false });
+  await fleet.setFaults(fleet.keyValueUrl, { down: false });
   const answered = await standIns.waitUntil(async () => (await send(1, "outage")).status === 200);
   assert.ok(answered);
   assert.is((await executions()).get("outage"), 1);
--- a/packages/daemon/tests/configuration.test.ts
+++ b/packages/daemon/tests/configuration.test.ts
@@ -56,9 +56,9 @@
  */
 suite("a lost reply to the accepting write is settled by reading back", async () => {
   const version = await currentVersion();
-  await fleet.fault(fleet.keyValueUrl, { dropReplies: 1 });
+  await fleet.setFaults(fleet.keyValueUrl, { dropReplies: 1 });
   const reply = await fleet.apply(fleet.document({ plainDeadlineMs: 2000 }), version);
-  await fleet.fault(fleet.keyValueUrl, { dropReplies: 0 });
+  await fleet.setFaults(fleet.keyValueUrl, { dropReplies: 0 });
   assert.ok(reply.status === 200 || (await currentVersion()) === version + 1);
   assert.ok(await inForceEverywhere(2000));
 });
@@ -71,10 +71,10 @@
 suite("a change accepted just before an outage is in force during it", async () => {
   const version = await currentVersion();
   const reply = await fleet.apply(fleet.document({ plainDeadlineMs: 3000 }), version, 4);
-  await fleet.fault(fleet.keyValueUrl, { down: true });
+  await fleet.setFaults(fleet.keyValueUrl, { down: true });
   assert.is(reply.status, 200);
   assert.ok(await inForceEverywhere(3000));
-  await fleet.fault(fleet.keyValueUrl, { down: false });
+  await fleet.setFaults(fleet.keyValueUrl, { down: false });
   assert.ok(await standIns.waitUntil(async () => (await currentVersion()) === version + 1));
   assert.ok(await inForceEverywhere(3000));
 });
@@ -97,7 +97,7 @@
  * daemon that then dies before it could tell its peers, is still in force.
  */
 suite("silent watches are opened anew", async () => {
-  await fleet.fault(fleet.keyValueUrl, { silenceOpenConnections: true });
+  await fleet.setFaults(fleet.keyValueUrl, { silenceOpenConnections: true });
   await standIns.waitUntil(
     async () => (await fleet.apply(fleet.document({ plainDeadlineMs: 6000 }), await currentVersion())).ok,
   );
--- a/packages/daemon/tests/outage.test.ts
+++ b/packages/daemon/tests/outage.test.ts
@@ -31,10 +31,10 @@
  * go on from the last view at every daemon. Afterwards claims work again.
  */
 suite("idempotent serving goes on through an outage", async () => {
-  await fleet.fault(fleet.keyValueUrl, { down: true });
+  await fleet.setFaults(fleet.keyValueUrl, { down: true });
   const served = await askFor(OUTAGE_MS, "outage");
   assert.is(served.answered, served.asked);
-  await fleet.fault(fleet.keyValueUrl, { down: false });
+  await fleet.setFaults(fleet.keyValueUrl, { down: false });
   assert.ok(await standIns.waitUntil(async () => (await fleet.printLabel(0, "after-outage")).status === 200));
 });
 
@@ -44,14 +44,14 @@
  * refused, not held.
  */
 suite("idempotent serving goes on while the service is slow", async () => {
-  await fleet.fault(fleet.keyValueUrl, { slowMs: SLOW_MS });
+  await fleet.setFaults(fleet.keyValueUrl, { slowMs: SLOW_MS });
   const served = await askFor(OUTAGE_MS / 2, "slow");
   assert.is(served.answered, served.asked);
   const label = await fleet.printLabel(1, "while-slow");
   assert.is(label.status, 503);
   assert.is(label.headers.get("x-outcome"), "not-run");
   assert.ok(Number(label.headers.get("retry-after")) > 0);
-  await fleet.fault(fleet.keyValueUrl, { slowMs: 0 });
+  await fleet.setFaults(fleet.keyValueUrl, { slowMs: 0 });
   assert.ok(await standIns.waitUntil(async () => (await fleet.printLabel(1, "while-slow")).status === 200));
   const printed = await fleet.journal(fleet.services[0]?.url ?? "");
   assert.is(printed.filter((entry) => entry.key === "while-slow").length, 1);
--- a/packages/daemon/tests/plannedChanges.test.ts
+++ b/packages/daemon/tests/plannedChanges.test.ts
@@ -48,7 +48,7 @@
  */
 suite("a drained engine gets no new work and nothing there is cut", async () => {
   const before = await beginStreams("before drain", 30, [0, 1, 2]);
-  await fleet.fault(fleet.keyValueUrl, { silenceOpenConnections: true });
+  await fleet.setFaults(fleet.keyValueUrl, { silenceOpenConnections: true });
   await fleet.configure({ draining: ["engine-1"] });
   const started = await startedAt(0);
   const after = await beginStreams("after drain", 30, [0, 1, 2]);
--- a/packages/daemon/tests/wholeAnswers.test.ts
+++ b/packages/daemon/tests/wholeAnswers.test.ts
@@ -55,7 +55,7 @@
   const read = await standIns.readStream(reply, (pieces) => {
     if (pieces >= PIECES_BEFORE_FAILURE && !struck) {
       struck = true;
-      for (const engine of fleet.engines) void fleet.fault(engine.url, { silenceOpenConnections: true });
+      for (const engine of fleet.engines) void fleet.setFaults(engine.url, { silenceOpenConnections: true });
     }
     return true;
   });
--- a/packages/measure/src/outageMeasure.ts
+++ b/packages/measure/src/outageMeasure.ts
@@ -26,9 +26,9 @@
   begin: standIns.FaultChange,
   end: standIns.FaultChange,
 ): Promise<gatewayMeasure.Line> {
-  await fleet.fault(fleet.keyValueUrl, begin);
+  await fleet.setFaults(fleet.keyValueUrl, begin);
   const served = await ask(fleet, AWAY_MS);
-  await fleet.fault(fleet.keyValueUrl, end);
+  await fleet.setFaults(fleet.keyValueUrl, end);
   const rates = await callRates(fleet);
   const claimed = await standIns.waitUntil(async () => (await fleet.printLabel(4, `after-${name}`)).ok);
   return {
--- a/packages/stand-ins/src/fleet.ts
+++ b/packages/stand-ins/src/fleet.ts
@@ -223,7 +223,7 @@
    * @param url - a stand-in's address
    * @param change - of its fault switches
    */
-  async fault(url: string, change: faults.FaultChange): Promise<void> {
+  async setFaults(url: string, change: faults.FaultChange): Promise<void> {
     // The switch may close the very connection that its reply comes on, or one kept from before.
     const headers = { "content-type": "application/json", connection: "close" };
     const post = (): Promise<Response> =>
