--- a/packages/daemon/tests/outage.test.ts
+++ b/packages/daemon/tests/outage.test.ts
@@ -20,7 +20,7 @@
   while (Date.now() < end) {
     const prompt = `${name} ${asked}`;
     const read = await standIns.readStream(await fleet.requestCompletion(asked % 3, prompt, 5));
-    if (read.complete && read.text === standIns.wholeAnswer(prompt, 5)) answered++;
+    if (read.complete && read.text === standIns.expectedAnswer(prompt, 5)) answered++;
     asked++;
   }
   return { asked, answered };
--- a/packages/daemon/tests/plannedChanges.test.ts
+++ b/packages/daemon/tests/plannedChanges.test.ts
@@ -21,7 +21,7 @@
   );
   const reads = replies.map(async (reply, index) => {
     const read = await standIns.readStream(reply);
-    return read.complete && read.text === standIns.wholeAnswer(`${name} ${index}`, TOKENS);
+    return read.complete && read.text === standIns.expectedAnswer(`${name} ${index}`, TOKENS);
   });
   return Promise.all(reads).then((whole) => whole.filter(Boolean).length);
 }
--- a/packages/daemon/tests/wholeAnswers.test.ts
+++ b/packages/daemon/tests/wholeAnswers.test.ts
@@ -30,7 +30,7 @@
   const asked = Array.from({ length: 40 }, async (_, index) => {
     const prompt = `dossier ${index}`;
     const reply = await fleet.requestCompletion(index % 3, prompt, 30, index % 2 === 0);
-    const expected = standIns.wholeAnswer(prompt, 30);
+    const expected = standIns.expectedAnswer(prompt, 30);
     if (index % 2 === 0) {
       const read = await standIns.readStream(reply);
       assert.ok(read.complete);
@@ -60,7 +60,7 @@
     return true;
   });
   assert.ok(read.complete);
-  assert.is(read.text, standIns.wholeAnswer(prompt, TOKENS));
+  assert.is(read.text, standIns.expectedAnswer(prompt, TOKENS));
 });
 
 /*
@@ -78,7 +78,7 @@
   const headers = { authorization: `Bearer ${standIns.TEAM_TOKEN}`, "last-event-id": first.lastEventId };
   const rest = await standIns.readStream(await fetch(`${fleet.daemon(1).url}/v1/streams/resume`, { headers }));
   assert.ok(rest.complete);
-  assert.is(first.text + rest.text, standIns.wholeAnswer(prompt, TOKENS));
+  assert.is(first.text + rest.text, standIns.expectedAnswer(prompt, TOKENS));
 });
 
 /*
@@ -98,7 +98,7 @@
   });
   assert.ok(killed);
   assert.ok(read.complete);
-  assert.is(read.text, standIns.wholeAnswer(prompt, TOKENS));
+  assert.is(read.text, standIns.expectedAnswer(prompt, TOKENS));
 });
 
 suite.run();
--- a/packages/measure/src/outageMeasure.ts
+++ b/packages/measure/src/outageMeasure.ts
@@ -56,7 +56,7 @@
   const prompt = `outage ${index}`;
   const reply = await fleet.requestCompletion(index % fleet.daemons.length, prompt, 8);
   const read = await standIns.readStream(reply);
-  return read.complete && read.text === standIns.wholeAnswer(prompt, 8);
+  return read.complete && read.text === standIns.expectedAnswer(prompt, 8);
 }
 
 async function callRates(fleet: standIns.Fleet): Promise<number[]> {
--- a/packages/stand-ins/src/answers.ts
+++ b/packages/stand-ins/src/answers.ts
@@ -20,6 +20,6 @@
  * @param tokens - length of the answer
  * @returns the whole answer
  */
-export function wholeAnswer(prompt: string, tokens: number): string {
+export function expectedAnswer(prompt: string, tokens: number): string {
   return Array.from({ length: tokens }, (_, index) => answerToken(prompt, index)).join("");
 }
