--- a/packages/daemon/tests/crashedChange.test.ts
+++ b/packages/daemon/tests/crashedChange.test.ts
@@ -37,7 +37,7 @@
   assert.ok(read.complete);
   assert.is((await endpointRow())?.takesWork, false);
   const listen = new URL(crashing.url).host;
-  await fleet.launcher.standIn(["engine", "--listen", listen, ...ENGINE_FLAGS]);
+  await fleet.launcher.startStandIn(["engine", "--listen", listen, ...ENGINE_FLAGS]);
   assert.ok(
     await standIns.waitUntil(async () => (await endpointRow())?.order.endsWith("settled prefill") ?? false, 60_000),
   );
--- a/packages/stand-ins/src/fleet.ts
+++ b/packages/stand-ins/src/fleet.ts
@@ -77,10 +77,10 @@
   /** Starts the stand-ins and the daemons; no team has a document yet. */
   async startProcesses(): Promise<void> {
     const { engines, services, daemons, engineFlags = ["--speed", "5"], serviceFlags = [] } = this.#options;
-    this.#keyValue = await this.launcher.standIn(["key-value"]);
-    this.#vmList = await this.launcher.standIn(["vm-list"]);
+    this.#keyValue = await this.launcher.startStandIn(["key-value"]);
+    this.#vmList = await this.launcher.startStandIn(["vm-list"]);
     const start = (count: number, args: readonly string[]): Promise<launcher.StandInProcess[]> =>
-      Promise.all(Array.from({ length: count }, () => this.launcher.standIn(args)));
+      Promise.all(Array.from({ length: count }, () => this.launcher.startStandIn(args)));
     this.engines.push(...(await start(engines, ["engine", ...engineFlags])));
     this.services.push(...(await start(services, ["service", ...serviceFlags])));
     for (let index = 0; index < daemons; index++) await this.startDaemon(index);
--- a/packages/stand-ins/src/launcher.ts
+++ b/packages/stand-ins/src/launcher.ts
@@ -58,7 +58,7 @@
    * @param args - kind and flags of a stand-in
    * @returns the process, once it listens
    */
-  standIn(args: readonly string[]): Promise<StandInProcess> {
+  startStandIn(args: readonly string[]): Promise<StandInProcess> {
     return new Promise((resolve) => {
       const child = this.start(Program.StandIn, args, (line) => {
         const address = /^listening url=(\S+)$/.exec(line)?.[1];
