--- a/packages/stand-ins/src/launcher.ts
+++ b/packages/stand-ins/src/launcher.ts
@@ -72,7 +72,7 @@
    * @param environment - its variables
    * @returns how it ended
    */
-  tool(args: readonly string[], environment: Readonly<Record<string, string>>): Promise<ToolRun> {
+  runTool(args: readonly string[], environment: Readonly<Record<string, string>>): Promise<ToolRun> {
     return new Promise((resolve) => {
       const child = childProcess.spawn(process.execPath, [pathOf(Program.Tool), ...args], {
         env: { ...process.env, ...environment },
--- a/scripts/demo.mjs
+++ b/scripts/demo.mjs
@@ -39,7 +39,7 @@
     CAMPHORCOURSE_TOKEN: standIns.OPERATOR_TOKEN,
     CAMPHORCOURSE_TEAM: "leoben",
   };
-  const applied = await fleet.launcher.tool(["config", "apply", "--wait", file], environment);
+  const applied = await fleet.launcher.runTool(["config", "apply", "--wait", file], environment);
   process.stdout.write(applied.output);
   await fs.rm(folder, { recursive: true });
   if (applied.code !== 0) throw new Error("the configuration was rejected");
