--- a/packages/stand-ins/src/engine.ts
+++ b/packages/stand-ins/src/engine.ts
@@ -6,11 +6,14 @@
 import * as modelModule from "./engineModel.js";
 import * as standIn from "./standIn.js";
 
-const HEARTBEAT_MS = 500;
-const KEEP_STREAM_MS = 30_000;
+/** Interval of the heartbeat comments in an event stream. */
+const HEARTBEAT_INTERVAL_MS = 500;
+/** How long a finished stream can still be resumed. */
+const FINISHED_STREAM_TTL_MS = 30_000;
 const CHARACTERS_PER_TOKEN = 4;
 const DEFAULT_OUTPUT_TOKENS = 16;
-const PROMPT_ON_RECORD = 60;
+/** How many characters of a prompt the journal keeps. */
+const MAX_JOURNAL_PROMPT_LENGTH = 60;
 
 const completionSchema = zod.looseObject({
   messages: zod.array(zod.looseObject({ content: zod.string() })).optional(),
@@ -28,9 +31,9 @@
 /** Settings of an engine stand-in. */
 export interface EngineOptions {
   readonly role?: modelModule.EngineRole;
-  /** Whether an order with an old fencing number is refused. */
+  /** Whether an order with a fencing number lower than that of an earlier order is rejected. */
   readonly checksFencing?: boolean;
-  /** How many times faster than the cost model time passes. */
+  /** Factor by which the engine runs faster than its cost model; 1 is real time. */
   readonly speed?: number;
   readonly costs?: modelModule.EngineCosts;
 }
@@ -42,23 +45,26 @@
   readonly outputTokens: number;
   readonly tokens: string[];
   finished: boolean;
-  cut: boolean;
-  readonly readers: Set<() => void>;
+  aborted: boolean;
+  readonly listeners: Set<() => void>;
 }
 
-/** An engine: OpenAI-compatible completions, load as Prometheus text, orders with a fencing number. */
+/**
+ * Simulates an inference engine: OpenAI-compatible completions, a load report in
+ * the Prometheus text format and role-change orders with fencing numbers.
+ */
 export class EngineStandIn extends standIn.StandIn {
   readonly #model: modelModule.EngineModel;
   readonly #streams = new Map<string, EngineStream>();
   readonly #checksFencing: boolean;
   readonly #speed: number;
   readonly #roleChangeMs: number;
-  #lastOrder = 0;
-  #orderUnderWay: string | undefined;
+  #lastOrderNumber = 0;
+  #orderInProgress: string | undefined;
   #stepTimer: NodeJS.Timeout | undefined;
-  #reported: { at: number; text: string }[] = [];
+  #recentReports: { at: number; text: string }[] = [];
 
-  /** @param options - role, fencing, speed and costs */
+  /** @param options - role, check of fencing numbers, speed and costs */
   constructor(options: EngineOptions = {}) {
     super();
     const costs = options.costs ?? modelModule.DEFAULT_COSTS;
@@ -70,30 +76,36 @@
     this.app.post("/v1/completions", async (context) => this.#complete(context));
     this.app.get("/v1/streams/:id", (context) => this.#resume(context));
     this.app.delete("/v1/streams/:id", (context) => this.#cancel(context));
-    this.app.post("/v1/orders", async (context) => this.#order(context));
-    this.app.get("/metrics", (context) => context.text(this.#laggedReport()));
+    this.app.post("/v1/orders", async (context) => this.#handleOrder(context));
+    this.app.get("/metrics", (context) => context.text(this.#delayedLoadReport()));
   }
 
-  /** @returns engine time in milliseconds, run at the engine's speed */
+  /** @returns the engine's clock in milliseconds, which runs faster than real time by the engine's speed */
   #now(): number {
     return performance.now() * this.#speed;
   }
 
   async #complete(context: hono.Context<standIn.Environment>): Promise<Response> {
     const parsed = completionSchema.safeParse(await context.req.json());
-    if (!parsed.success) return refuse(context, 400, "bad-request");
+    if (!parsed.success) return rejectRequest(context, 400, "bad-request");
     const body = parsed.data;
     const id = context.req.header("x-request-id") ?? crypto.randomUUID();
-    const part = partOf(body.kv_transfer_params);
-    if (this.#model.isUnavailable(this.#now())) return refuse(context, 503, "changing-role");
-    if (!this.#model.accepts(part)) return refuse(context, 409, "wrong-role");
+    const part = requestedPart(body.kv_transfer_params);
+    if (this.#model.isUnavailable(this.#now())) return rejectRequest(context, 503, "changing-role");
+    if (!this.#model.accepts(part)) return rejectRequest(context, 409, "wrong-role");
     const prompt = body.prompt ?? (body.messages ?? []).map((message) => message.content).join("\n");
-    const stream = this.#begin(id, part, prompt, body.max_tokens ?? DEFAULT_OUTPUT_TOKENS, body.priority ?? 0);
+    const stream = this.#startStream(id, part, prompt, body.max_tokens ?? DEFAULT_OUTPUT_TOKENS, body.priority ?? 0);
     if (body.stream) return this.#sendStream(context, stream, 0);
-    return this.#sendWhole(context, stream);
+    return this.#sendCompletion(context, stream);
   }
 
-  #begin(id: string, part: modelModule.JobPart, prompt: string, outputTokens: number, priority: number): EngineStream {
+  #startStream(
+    id: string,
+    part: modelModule.JobPart,
+    prompt: string,
+    outputTokens: number,
+    priority: number,
+  ): EngineStream {
     const stream = {
       id,
       prompt,
@@ -101,11 +113,17 @@
       outputTokens,
       tokens: [],
       finished: false,
-      cut: false,
-      readers: new Set<() => void>(),
+      aborted: false,
+      listeners: new Set<() => void>(),
     };
     this.#streams.set(id, stream);
-    this.record({ event: "started", requestId: id, part, outputTokens, prompt: prompt.slice(0, PROMPT_ON_RECORD) });
+    this.record({
+      event: "started",
+      requestId: id,
+      part,
+      outputTokens,
+      prompt: prompt.slice(0, MAX_JOURNAL_PROMPT_LENGTH),
+    });
     const promptTokens = Math.max(1, Math.ceil(prompt.length / CHARACTERS_PER_TOKEN));
     this.#model.submit({ id, part, promptTokens, outputTokens, priority }, this.#now());
     this.#scheduleStep();
@@ -129,29 +147,29 @@
     for (;;) {
       const endsAt = this.#model.stepEndsAt;
       if (endsAt === undefined || endsAt > this.#now()) return;
-      for (const progress of this.#model.finishStep(endsAt)) this.#advance(progress);
+      for (const progress of this.#model.finishStep(endsAt)) this.#applyProgress(progress);
     }
   }
 
-  #advance(progress: modelModule.JobProgress): void {
+  #applyProgress(progress: modelModule.JobProgress): void {
     const stream = this.#streams.get(progress.id);
     if (!stream) return;
     while (stream.tokens.length < progress.emitted) {
       stream.tokens.push(answers.answerToken(stream.prompt, stream.tokens.length));
     }
-    if (progress.finished) this.#finish(stream);
-    for (const reader of stream.readers) reader();
+    if (progress.finished) this.#finishStream(stream);
+    for (const listener of stream.listeners) listener();
   }
 
-  #finish(stream: EngineStream): void {
+  #finishStream(stream: EngineStream): void {
     stream.finished = true;
     this.record({ event: "finished", requestId: stream.id });
-    setTimeout(() => this.#streams.delete(stream.id), KEEP_STREAM_MS).unref();
+    setTimeout(() => this.#streams.delete(stream.id), FINISHED_STREAM_TTL_MS).unref();
   }
 
   #resume(context: hono.Context<standIn.Environment>): Response {
     const stream = this.#streams.get(context.req.param("id") ?? "");
-    if (!stream) return refuse(context, 404, "unknown-stream");
+    if (!stream) return rejectRequest(context, 404, "unknown-stream");
     this.record({ event: "resumed", requestId: stream.id });
     return this.#sendStream(context, stream, Number(context.req.query("from") ?? "0"));
   }
@@ -177,53 +195,53 @@
     };
     const heartbeat = setInterval(() => {
       write(": heartbeat\n\n");
-    }, HEARTBEAT_MS);
-    const pump = (): void => {
-      if (stream.cut) outgoing.destroy();
-      for (; next < stream.tokens.length; next++) write(chunkEvent(stream, next));
+    }, HEARTBEAT_INTERVAL_MS);
+    const sendAvailableTokens = (): void => {
+      if (stream.aborted) outgoing.destroy();
+      for (; next < stream.tokens.length; next++) write(serverSentEvent(stream, next));
       if (!stream.finished || this.faults.isSilenced(socket)) return;
       write("data: [DONE]\n\n");
       outgoing.end();
     };
-    stream.readers.add(pump);
+    stream.listeners.add(sendAvailableTokens);
     outgoing.once("close", () => {
       clearInterval(heartbeat);
-      stream.readers.delete(pump);
+      stream.listeners.delete(sendAvailableTokens);
     });
-    pump();
+    sendAvailableTokens();
     return nodeServer.RESPONSE_ALREADY_SENT;
   }
 
-  #sendWhole(context: hono.Context<standIn.Environment>, stream: EngineStream): Promise<Response> {
+  #sendCompletion(context: hono.Context<standIn.Environment>, stream: EngineStream): Promise<Response> {
     context.header("x-request-id", stream.id);
     return new Promise((resolve) => {
-      const settle = (): void => {
-        if (stream.cut) context.env.incoming.socket.destroy();
-        if (stream.finished) resolve(context.json(wholeBody(stream)));
+      const respondIfFinished = (): void => {
+        if (stream.aborted) context.env.incoming.socket.destroy();
+        if (stream.finished) resolve(context.json(completionBody(stream)));
       };
-      stream.readers.add(settle);
-      settle();
+      stream.listeners.add(respondIfFinished);
+      respondIfFinished();
     });
   }
 
-  async #order(context: hono.Context<standIn.Environment>): Promise<Response> {
+  async #handleOrder(context: hono.Context<standIn.Environment>): Promise<Response> {
     const { role } = orderSchema.parse(await context.req.json());
     const number = Number(context.req.header("x-fencing-number") ?? "0");
     const epoch = context.req.header("x-epoch") ?? "";
-    if (this.#checksFencing && number < this.#lastOrder) {
+    if (this.#checksFencing && number < this.#lastOrderNumber) {
       this.record({ event: "order-refused", number, epoch, role });
-      return refuse(context, 409, "stale-order");
+      return rejectRequest(context, 409, "stale-order");
     }
     const order = `${number}:${role}`;
-    const conflicting = this.#orderUnderWay !== undefined && this.#orderUnderWay !== order;
-    const stale = number < this.#lastOrder;
-    this.#lastOrder = Math.max(this.#lastOrder, number);
-    const cut = this.#model.role === role ? [] : this.#changeRole(role);
-    this.record({ event: "order", number, epoch, role, conflicting, stale, cut: cut.length });
-    this.#orderUnderWay = order;
+    const conflicting = this.#orderInProgress !== undefined && this.#orderInProgress !== order;
+    const stale = number < this.#lastOrderNumber;
+    this.#lastOrderNumber = Math.max(this.#lastOrderNumber, number);
+    const abortedIds = this.#model.role === role ? [] : this.#changeRole(role);
+    this.record({ event: "order", number, epoch, role, conflicting, stale, cut: abortedIds.length });
+    this.#orderInProgress = order;
     await standIn.delay(this.#roleChangeMs / this.#speed);
-    this.#orderUnderWay = undefined;
-    if (this.faults.takeDroppedReply()) {
+    this.#orderInProgress = undefined;
+    if (this.faults.consumeDroppedReply()) {
       context.env.incoming.socket.destroy();
       return nodeServer.RESPONSE_ALREADY_SENT;
     }
@@ -231,34 +249,35 @@
   }
 
   #changeRole(role: modelModule.EngineRole): string[] {
-    const cut = this.#model.changeRole(role, this.#now());
-    for (const id of cut) {
+    const abortedIds = this.#model.changeRole(role, this.#now());
+    for (const id of abortedIds) {
       const stream = this.#streams.get(id);
       if (!stream) continue;
-      stream.cut = true;
+      stream.aborted = true;
       this.record({ event: "cut", requestId: id });
-      for (const reader of stream.readers) reader();
+      for (const listener of stream.listeners) listener();
     }
-    return cut;
+    return abortedIds;
   }
 
-  #laggedReport(): string {
+  /** @returns the newest load report that is at least `reportLagMs` old, or else the oldest one kept */
+  #delayedLoadReport(): string {
     const now = Date.now();
-    this.#reported.push({ at: now, text: this.#report() });
-    const visible = this.#reported.filter((report) => report.at <= now - this.faults.reportLagMs);
-    const latest = visible.at(-1) ?? this.#reported[0];
-    this.#reported = this.#reported.filter((report) => report.at >= (latest?.at ?? 0));
+    this.#recentReports.push({ at: now, text: this.#loadReport() });
+    const visible = this.#recentReports.filter((report) => report.at <= now - this.faults.reportLagMs);
+    const latest = visible.at(-1) ?? this.#recentReports[0];
+    this.#recentReports = this.#recentReports.filter((report) => report.at >= (latest?.at ?? 0));
     return latest?.text ?? "";
   }
 
-  #report(): string {
+  #loadReport(): string {
     const role = this.#model.role;
     return [
       `num_requests_running ${this.#model.running}`,
       `num_requests_waiting ${this.#model.waiting}`,
       `prompt_tokens_waiting ${Math.round(this.#model.waitingTokens)}`,
       `engine_role{role="${role}"} 1`,
-      `last_order_number ${this.#lastOrder}`,
+      `last_order_number ${this.#lastOrderNumber}`,
       `role_change_under_way ${this.#model.isUnavailable(this.#now()) ? 1 : 0}`,
       `prefix_cache_hits_total ${this.#model.prefixHits}`,
       "",
@@ -266,17 +285,23 @@
   }
 }
 
-function partOf(transfer: zod.infer<typeof completionSchema>["kv_transfer_params"]): modelModule.JobPart {
-  if (transfer?.do_remote_decode) return modelModule.JobPart.Prefill;
-  if (transfer?.do_remote_prefill) return modelModule.JobPart.Decode;
+function requestedPart(
+  transferParameters: zod.infer<typeof completionSchema>["kv_transfer_params"],
+): modelModule.JobPart {
+  if (transferParameters?.do_remote_decode) return modelModule.JobPart.Prefill;
+  if (transferParameters?.do_remote_prefill) return modelModule.JobPart.Decode;
   return modelModule.JobPart.Whole;
 }
 
-function refuse(context: hono.Context<standIn.Environment>, status: 400 | 404 | 409 | 503, kind: string): Response {
+function rejectRequest(
+  context: hono.Context<standIn.Environment>,
+  status: 400 | 404 | 409 | 503,
+  kind: string,
+): Response {
   return context.json({ kind, outcome: "not-run" }, status, { "x-outcome": "not-run" });
 }
 
-function chunkEvent(stream: EngineStream, index: number): string {
+function serverSentEvent(stream: EngineStream, index: number): string {
   const finish = index === stream.outputTokens - 1 ? "stop" : null;
   const delta = { content: stream.tokens[index] };
   const body = {
@@ -287,7 +312,7 @@
   return `id: ${index}\ndata: ${JSON.stringify(body)}\n\n`;
 }
 
-function wholeBody(stream: EngineStream): object {
+function completionBody(stream: EngineStream): object {
   if (stream.part === modelModule.JobPart.Prefill) {
     return { id: stream.id, kv_transfer_params: { do_remote_prefill: true, remote_request_id: stream.id } };
   }
--- a/packages/stand-ins/src/engineModel.ts
+++ b/packages/stand-ins/src/engineModel.ts
@@ -1,40 +1,45 @@
-/** A model of an engine that batches continuously, for virtual or real time. */
+/** Models an engine with continuous batching; the caller supplies virtual or real time. */
 
-/** What an engine is set up to do. */
+/** Which phases of a request an engine is configured to run. */
 export enum EngineRole {
   Prefill = "prefill",
   Decode = "decode",
   Mixed = "mixed",
 }
 
-/** Which part of a request an engine is asked for. */
+/** Which part of a request a job runs: prefill, decode or both. */
 export enum JobPart {
   Whole = "whole",
   Prefill = "prefill",
   Decode = "decode",
 }
 
-/** Costs of one role. Times in milliseconds. */
+/** Limits of one role. */
 export interface RoleCosts {
-  /** Prompt tokens that one step takes in at most. */
+  /** Maximum number of prompt tokens processed in one step; 0 means no limit. */
   readonly chunkTokens: number;
-  /** Sequences that decode side by side at most. */
+  /** Maximum number of sequences that decode concurrently. */
   readonly slots: number;
 }
 
 /** Costs of an engine. Times in milliseconds. */
 export interface EngineCosts {
+  /** Fixed part of the duration of a step. */
   readonly stepBaseMs: number;
+  /** Added to a step for each prompt token that it prefills. */
   readonly prefillTokenMs: number;
+  /** Added to a step for each sequence that decodes. */
   readonly decodeStreamMs: number;
+  /** Time to import the KV cache of one prompt token that another engine has prefilled. */
   readonly importTokenMs: number;
+  /** How long a role change makes the engine unavailable. */
   readonly roleChangeMs: number;
-  /** Prompt tokens whose KV cache fits the prefix cache. */
+  /** Capacity of the prefix cache in prompt tokens. */
   readonly prefixCacheTokens: number;
   readonly roles: Readonly<Record<EngineRole, RoleCosts>>;
 }
 
-/** Costs of the order of a mid-sized model on one accelerator. Assumed, not measured. */
+/** Assumed costs, of the magnitude of a mid-sized model on one accelerator. */
 export const DEFAULT_COSTS: EngineCosts = {
   stepBaseMs: 6,
   prefillTokenMs: 0.05,
@@ -49,45 +54,50 @@
   },
 };
 
-/** One request, or a part of one, at an engine. */
+/** A request, or one part of it, as submitted to an engine. */
 export interface EngineJob {
   readonly id: string;
   readonly part: JobPart;
   readonly promptTokens: number;
   readonly outputTokens: number;
+  /** Jobs with a higher priority are scheduled first. */
   readonly priority: number;
-  /** Names the shared beginning of the prompt. */
+  /** Identifies the prompt prefix that the job shares with others. */
   readonly prefix?: string;
+  /** Length of the shared prefix. */
   readonly prefixTokens?: number;
 }
 
-/** How far a job came in a step. */
+/** State of a job after a step. */
 export interface JobProgress {
   readonly id: string;
+  /** Output tokens generated so far. */
   readonly emitted: number;
+  /** Whether this step completed the job's prefill. */
   readonly prefillDone: boolean;
   readonly finished: boolean;
 }
 
 interface ActiveJob {
   readonly job: EngineJob;
-  prefillLeft: number;
+  remainingPrefillTokens: number;
   emitted: number;
 }
 
-/** Continuous batching by a simple prefill and decode cost model. */
+/** Simulates continuous batching with a linear cost model of prefill and decode. */
 export class EngineModel {
   readonly #costs: EngineCosts;
-  readonly #prefixes = new Map<string, number>();
+  readonly #cachedPrefixes = new Map<string, number>();
   #waiting: ActiveJob[] = [];
   #decoding: ActiveJob[] = [];
   #step: { endsAt: number; chunks: Map<ActiveJob, number> } | undefined;
   #role: EngineRole;
-  #awayUntil = 0;
+  #unavailableUntil = 0;
+  /** Number of jobs whose prefix was found in the prefix cache. */
   prefixHits = 0;
 
   /**
-   * @param role - the role at start
+   * @param role - the initial role
    * @param costs - the cost model
    */
   constructor(role: EngineRole, costs: EngineCosts = DEFAULT_COSTS) {
@@ -95,42 +105,42 @@
     this.#costs = costs;
   }
 
-  /** @returns the present role */
+  /** @returns the current role */
   get role(): EngineRole {
     return this.#role;
   }
 
-  /** @returns jobs that wait for prefill or a slot */
+  /** @returns the number of jobs whose prefill has not finished */
   get waiting(): number {
     return this.#waiting.length;
   }
 
-  /** @returns jobs that decode */
+  /** @returns the number of jobs that are decoding */
   get running(): number {
     return this.#decoding.length;
   }
 
-  /** @returns prompt tokens still to be taken in */
+  /** @returns the number of prompt tokens still to be processed; imported tokens are weighted by their cost */
   get waitingTokens(): number {
-    return this.#waiting.reduce((sum, active) => sum + active.prefillLeft, 0);
+    return this.#waiting.reduce((sum, active) => sum + active.remainingPrefillTokens, 0);
   }
 
-  /** @returns when the step under way ends, if there is one */
+  /** @returns the time at which the current step ends, or undefined if none is running */
   get stepEndsAt(): number | undefined {
     return this.#step?.endsAt;
   }
 
   /**
    * @param now - current time
-   * @returns whether a role change keeps the engine away
+   * @returns whether a role change makes the engine unavailable
    */
   isUnavailable(now: number): boolean {
-    return now < this.#awayUntil;
+    return now < this.#unavailableUntil;
   }
 
   /**
-   * @param part - what is asked for
-   * @returns whether the present role serves it
+   * @param part - the requested part of a request
+   * @returns whether the current role can run it
    */
   accepts(part: JobPart): boolean {
     if (this.#role === EngineRole.Mixed) return true;
@@ -138,26 +148,28 @@
   }
 
   /**
-   * @param job - the job to take in
+   * Queues a job by priority and starts a step if none is running.
+   *
+   * @param job - the job to queue
    * @param now - current time
    */
   submit(job: EngineJob, now: number): void {
-    this.#waiting.push({ job, prefillLeft: this.#prefillWork(job), emitted: 0 });
+    this.#waiting.push({ job, remainingPrefillTokens: this.#prefillTokensNeeded(job), emitted: 0 });
     this.#waiting.sort((left, right) => right.job.priority - left.job.priority);
-    this.#beginStep(now);
+    this.#startStep(now);
   }
 
-  /** @param id - the job to drop */
+  /** @param id - the job to remove */
   cancel(id: string): void {
     this.#waiting = this.#waiting.filter((active) => active.job.id !== id);
     this.#decoding = this.#decoding.filter((active) => active.job.id !== id);
   }
 
   /**
-   * Ends the step under way and begins the next.
+   * Ends the current step and starts the next one.
    *
    * @param now - the time at which the step ended
-   * @returns what each job gained
+   * @returns the progress of each job that produced output or finished its prefill
    */
   finishStep(now: number): JobProgress[] {
     const step = this.#step;
@@ -166,53 +178,53 @@
     const progress: JobProgress[] = [];
     for (const active of this.#decoding) {
       active.emitted++;
-      progress.push(this.#progressOf(active, false));
+      progress.push(this.#jobProgress(active, false));
     }
     this.#decoding = this.#decoding.filter((active) => active.emitted < active.job.outputTokens);
     for (const [active, tokens] of step.chunks) this.#finishChunk(active, tokens, progress);
-    this.#beginStep(now);
+    this.#startStep(now);
     return progress;
   }
 
   /**
-   * Changes the role. What runs is cut: callers must drain first.
+   * Changes the role. Aborts all jobs, so callers must drain the engine first.
    *
    * @param role - the new role
    * @param now - current time
-   * @returns the ids of the jobs that were cut
+   * @returns the ids of the aborted jobs
    */
   changeRole(role: EngineRole, now: number): string[] {
-    const cut = [...this.#waiting, ...this.#decoding].map((active) => active.job.id);
+    const abortedIds = [...this.#waiting, ...this.#decoding].map((active) => active.job.id);
     this.#waiting = [];
     this.#decoding = [];
     this.#step = undefined;
-    this.#prefixes.clear();
+    this.#cachedPrefixes.clear();
     this.#role = role;
-    this.#awayUntil = now + this.#costs.roleChangeMs;
-    return cut;
+    this.#unavailableUntil = now + this.#costs.roleChangeMs;
+    return abortedIds;
   }
 
-  #prefillWork(job: EngineJob): number {
+  #prefillTokensNeeded(job: EngineJob): number {
     if (job.part === JobPart.Decode) return job.promptTokens * (this.#costs.importTokenMs / this.#costs.prefillTokenMs);
     if (job.prefix === undefined) return job.promptTokens;
-    const cached = this.#prefixes.get(job.prefix) ?? 0;
+    const cached = this.#cachedPrefixes.get(job.prefix) ?? 0;
     if (cached > 0) this.prefixHits++;
-    this.#rememberPrefix(job.prefix, job.prefixTokens ?? 0);
+    this.#cachePrefix(job.prefix, job.prefixTokens ?? 0);
     return Math.max(1, job.promptTokens - cached);
   }
 
-  #rememberPrefix(prefix: string, tokens: number): void {
-    this.#prefixes.delete(prefix);
-    this.#prefixes.set(prefix, tokens);
-    let total = [...this.#prefixes.values()].reduce((sum, size) => sum + size, 0);
-    for (const [oldest, size] of this.#prefixes) {
+  #cachePrefix(prefix: string, tokens: number): void {
+    this.#cachedPrefixes.delete(prefix);
+    this.#cachedPrefixes.set(prefix, tokens);
+    let total = [...this.#cachedPrefixes.values()].reduce((sum, size) => sum + size, 0);
+    for (const [oldest, size] of this.#cachedPrefixes) {
       if (total <= this.#costs.prefixCacheTokens) return;
-      this.#prefixes.delete(oldest);
+      this.#cachedPrefixes.delete(oldest);
       total -= size;
     }
   }
 
-  #beginStep(now: number): void {
+  #startStep(now: number): void {
     if (this.#step) return;
     const limits = this.#costs.roles[this.#role];
     const chunks = new Map<ActiveJob, number>();
@@ -223,7 +235,7 @@
       if (budget <= 0) break;
       if (needsSlot && slots <= 0) continue;
       if (needsSlot) slots--;
-      const tokens = Math.min(budget, active.prefillLeft);
+      const tokens = Math.min(budget, active.remainingPrefillTokens);
       chunks.set(active, tokens);
       budget -= tokens;
     }
@@ -233,24 +245,24 @@
       this.#costs.stepBaseMs +
       prefillTokens * this.#costs.prefillTokenMs +
       this.#decoding.length * this.#costs.decodeStreamMs;
-    this.#step = { endsAt: Math.max(now, this.#awayUntil) + duration, chunks };
+    this.#step = { endsAt: Math.max(now, this.#unavailableUntil) + duration, chunks };
   }
 
   #finishChunk(active: ActiveJob, tokens: number, progress: JobProgress[]): void {
     if (!this.#waiting.includes(active)) return;
-    active.prefillLeft -= tokens;
-    if (active.prefillLeft > 0) return;
+    active.remainingPrefillTokens -= tokens;
+    if (active.remainingPrefillTokens > 0) return;
     this.#waiting = this.#waiting.filter((other) => other !== active);
     if (active.job.part === JobPart.Prefill) {
       progress.push({ id: active.job.id, emitted: 0, prefillDone: true, finished: true });
       return;
     }
     active.emitted = 1;
-    progress.push(this.#progressOf(active, true));
+    progress.push(this.#jobProgress(active, true));
     if (active.emitted < active.job.outputTokens) this.#decoding.push(active);
   }
 
-  #progressOf(active: ActiveJob, prefillDone: boolean): JobProgress {
+  #jobProgress(active: ActiveJob, prefillDone: boolean): JobProgress {
     const finished = active.emitted >= active.job.outputTokens;
     return { id: active.job.id, emitted: active.emitted, prefillDone, finished };
   }
--- a/packages/stand-ins/src/faults.ts
+++ b/packages/stand-ins/src/faults.ts
@@ -1,22 +1,23 @@
 import type * as net from "node:net";
 import * as zod from "zod";
 
+/** Lets the reply to the `/faults` request leave before the connections are closed. */
 const CLOSE_DELAY_MS = 20;
 
 const faultsSchema = zod.strictObject({
-  /** Every connection is closed without a reply. */
+  /** Closes every connection without a reply. */
   down: zod.boolean().optional(),
-  /** Milliseconds that each reply waits. */
+  /** Delay before each request is handled, in milliseconds. */
   slowMs: zod.number().nonnegative().optional(),
-  /** How many of the next writes take effect while their reply is lost. */
+  /** Number of following writes that take effect while their reply is lost. */
   dropReplies: zod.number().int().nonnegative().optional(),
-  /** Connections open now fall silent for good; new ones work. */
+  /** Sends nothing more on the connections that are open now; new connections work. */
   silenceOpenConnections: zod.boolean().optional(),
-  /** Milliseconds by which load reports are late. */
+  /** Delay of load reports and of changes to the VM list, in milliseconds. */
   reportLagMs: zod.number().nonnegative().optional(),
-  /** Share of cache events that are lost. */
+  /** Share of cache events that are lost, from 0 to 1. */
   loseCacheEvents: zod.number().min(0).max(1).optional(),
-  /** The process ends at once. */
+  /** Ends the process immediately with exit code 1. */
   crash: zod.boolean().optional(),
 });
 
@@ -25,57 +26,66 @@
 
 /** The fault switches of one stand-in. */
 export class Faults {
-  readonly #open = new Set<net.Socket>();
-  readonly #silenced = new WeakSet<net.Socket>();
+  readonly #openSockets = new Set<net.Socket>();
+  readonly #silencedSockets = new WeakSet<net.Socket>();
   down = false;
   slowMs = 0;
   dropReplies = 0;
   reportLagMs = 0;
   loseCacheEvents = 0;
 
-  /** @param socket - a connection that has just been accepted */
+  /** @param socket - a newly accepted connection */
   track(socket: net.Socket): void {
-    this.#open.add(socket);
-    socket.once("close", () => this.#open.delete(socket));
+    this.#openSockets.add(socket);
+    socket.once("close", () => this.#openSockets.delete(socket));
   }
 
   /**
    * @param socket - a connection
-   * @returns whether it has gone silent
+   * @returns whether nothing more may be sent on it
    */
   isSilenced(socket: net.Socket): boolean {
-    return this.#silenced.has(socket);
+    return this.#silencedSockets.has(socket);
   }
 
-  /** @returns true once for each reply that is to be lost */
-  takeDroppedReply(): boolean {
+  /**
+   * Uses up one reply of `dropReplies`.
+   *
+   * @returns whether the current reply is to be dropped
+   */
+  consumeDroppedReply(): boolean {
     if (this.dropReplies === 0) return false;
     this.dropReplies--;
     return true;
   }
 
-  /** @param body - the posted change, not yet checked */
+  /**
+   * Validates a change of the fault switches and applies it; switches that it doesn't name keep their value.
+   *
+   * @param body - the posted JSON body
+   * @throws zod.ZodError if the body is invalid
+   */
   apply(body: unknown): void {
     const change = faultsSchema.parse(body);
     if (change.crash) process.exit(1);
-    if (change.silenceOpenConnections) this.#silenceOpen();
+    if (change.silenceOpenConnections) this.#silenceOpenSockets();
     this.down = change.down ?? this.down;
     this.slowMs = change.slowMs ?? this.slowMs;
     this.dropReplies = change.dropReplies ?? this.dropReplies;
     this.reportLagMs = change.reportLagMs ?? this.reportLagMs;
     this.loseCacheEvents = change.loseCacheEvents ?? this.loseCacheEvents;
-    // The connection that asked for it gets its reply first.
+    // The request that switched the stand-in off still gets its reply.
     if (this.down)
       setTimeout(() => {
-        this.#closeOpen();
+        this.#closeOpenSockets();
       }, CLOSE_DELAY_MS);
   }
 
-  #silenceOpen(): void {
-    for (const socket of this.#open) this.#silenced.add(socket);
+  #silenceOpenSockets(): void {
+    for (const socket of this.#openSockets) this.#silencedSockets.add(socket);
   }
 
-  #closeOpen(): void {
-    for (const socket of this.#open) socket.destroy();
+  #closeOpenSockets(): void {
+    for (const socket of this.#openSockets) socket.destroy();
   }
 }
--- a/packages/stand-ins/src/fleet.ts
+++ b/packages/stand-ins/src/fleet.ts
@@ -4,23 +4,25 @@
 import * as launcher from "./launcher.js";
 import type * as standIn from "./standIn.js";
 
-/** Token of the team that fleets are started with. */
+/** Bearer token of the team that every fleet is configured with. */
 export const TEAM_TOKEN = "leoben-token";
-/** Token of the platform operator of such a fleet. */
+/** Bearer token of the platform operator, used for the administration API. */
 export const OPERATOR_TOKEN = "operator-token";
 
 const ADMIN_TIMEOUT_MS = 10_000;
 const DATA_CENTRES = ["halle-a", "halle-b", "halle-c"];
 
-/** A daemon that runs as a process of its own. */
+/** A daemon that runs as a separate process. */
 export interface DaemonProcess {
   readonly vm: string;
   readonly child: childProcess.ChildProcess;
+  /** Address for callers. */
   readonly url: string;
+  /** Address of the administration API. */
   readonly adminUrl: string;
 }
 
-/** How many processes a fleet has, and their flags. */
+/** The number of processes of a fleet and their command-line flags. */
 export interface FleetOptions {
   readonly engines: number;
   readonly services: number;
@@ -30,18 +32,20 @@
   readonly serviceFlags?: readonly string[];
 }
 
-/** What a team document of a fleet says beyond the defaults. */
+/** Settings of a fleet's team document that differ from the defaults. */
 export interface DocumentOptions {
-  /** Wanted role of each engine; the rest is mixed. */
+  /** Role of each engine by index; further engines are mixed. */
   readonly roles?: readonly string[];
   /** Names of endpoints that are draining. */
   readonly draining?: readonly string[];
   readonly checksFencing?: boolean;
+  /** Deadline of the plain service in milliseconds. */
   readonly plainDeadlineMs?: number;
+  /** Maximum number of concurrent calls per endpoint of the plain service. */
   readonly perEndpoint?: number;
 }
 
-/** A fleet of daemons, the platform's stand-ins and endpoints, each a process of its own. */
+/** A fleet of daemons and of stand-ins for the platform services and the endpoints, each a separate process. */
 export class Fleet {
   readonly launcher = new launcher.Launcher();
   readonly engines: launcher.StandInProcess[] = [];
@@ -52,7 +56,7 @@
   #vmList: launcher.StandInProcess | undefined;
   #version = 0;
 
-  /** @param options - sizes and flags */
+  /** @param options - process counts and flags */
   constructor(options: FleetOptions) {
     this.#options = options;
   }
@@ -62,19 +66,23 @@
     return this.#keyValue?.url ?? "";
   }
 
-  /** @returns the address of the list of VMs */
+  /** @returns the address of the VM list */
   get vmListUrl(): string {
     return this.#vmList?.url ?? "";
   }
 
-  /** Starts everything, applies the team's document and waits until all daemons see one another. */
+  /**
+   * Starts all processes, applies the team document and waits until all daemons are connected to each other.
+   *
+   * @param documentOptions - settings of the team document
+   */
   async start(documentOptions: DocumentOptions = {}): Promise<void> {
     await this.startProcesses();
     await this.configure(documentOptions);
     await this.waitUntilConnected();
   }
 
-  /** Starts the stand-ins and the daemons; no team has a document yet. */
+  /** Starts the stand-ins and the daemons without applying a team document. */
   async startProcesses(): Promise<void> {
     const { engines, services, daemons, engineFlags = ["--speed", "5"], serviceFlags = [] } = this.#options;
     this.#keyValue = await this.launcher.startStandIn(["key-value"]);
@@ -87,8 +95,10 @@
   }
 
   /**
-   * @param index - which VM; a daemon that ran there is replaced in the list
-   * @returns the daemon, once it answers
+   * Starts a daemon, which replaces the entry of an earlier daemon on the same VM.
+   *
+   * @param index - index of the VM
+   * @returns the daemon, once it listens
    */
   startDaemon(index: number): Promise<DaemonProcess> {
     const vm = `vm-${index + 1}`;
@@ -115,23 +125,24 @@
   }
 
   /**
-   * @param index - which daemon
+   * @param index - index of the daemon
    * @returns the daemon
+   * @throws Error if no daemon has this index
    */
   daemon(index: number): DaemonProcess {
     const daemon = this.daemons[index];
-    if (!daemon) throw new Error(`no daemon ${index}`);
+    if (!daemon) throw new Error(`no daemon has index ${index}`);
     return daemon;
   }
 
   /**
-   * @param options - what the document says
-   * @returns the team's document for this fleet
+   * @param options - settings that differ from the defaults
+   * @returns the text of the team document for this fleet
    */
   document(options: DocumentOptions = {}): string {
     const { roles = [], draining = [], checksFencing = true, plainDeadlineMs = 5000, perEndpoint = 64 } = options;
-    const endpoint = (name: string, index: number, rest: string): string =>
-      `  ${name}: { ${rest}, dataCentre: ${DATA_CENTRES[index % DATA_CENTRES.length]}, state: ${draining.includes(name) ? "draining" : "active"} }`;
+    const endpoint = (name: string, index: number, fields: string): string =>
+      `  ${name}: { ${fields}, dataCentre: ${DATA_CENTRES[index % DATA_CENTRES.length]}, state: ${draining.includes(name) ? "draining" : "active"} }`;
     const engines = this.engines.map(({ url }, index) =>
       endpoint(
         `engine-${index + 1}`,
@@ -154,17 +165,18 @@
   }
 
   /**
-   * Applies a document through the administration API and waits until it is in
-   * force everywhere.
+   * Applies a team document through the administration API and waits until it is
+   * in force on all daemons.
    *
-   * @param options - what the document says
-   * @param index - the daemon to use
-   * @returns the revision
+   * @param options - settings that differ from the defaults
+   * @param index - index of the daemon to call
+   * @returns the configuration revision
+   * @throws Error if the document is rejected
    */
   async configure(options: DocumentOptions = {}, index = 0): Promise<number> {
-    const reply = await this.apply(this.document(options), this.#version, index);
-    if (!reply.ok) throw new Error(`the document was not accepted: ${await reply.text()}`);
-    const { version, revision } = (await reply.json()) as { version: number; revision: number };
+    const response = await this.apply(this.document(options), this.#version, index);
+    if (!response.ok) throw new Error(`team document was rejected: ${await response.text()}`);
+    const { version, revision } = (await response.json()) as { version: number; revision: number };
     this.#version = version;
     await launcher.waitUntil(async () => {
       const inForce = await this.admin<{ pending: string[] }>(index, `/admin/in-force/${revision}`);
@@ -174,10 +186,12 @@
   }
 
   /**
-   * @param text - a team document
-   * @param expectedVersion - on which it is based
-   * @param index - the daemon to use
-   * @returns the reply
+   * Sends a team document to the administration API.
+   *
+   * @param text - text of the team document
+   * @param expectedVersion - version of the document that this one is based on
+   * @param index - index of the daemon to call
+   * @returns the response
    */
   apply(text: string, expectedVersion: number, index = 0): Promise<Response> {
     return fetch(`${this.daemon(index).adminUrl}/admin/teams/leoben`, {
@@ -188,7 +202,7 @@
     });
   }
 
-  /** Waits until every daemon hears all the others. */
+  /** Waits until every daemon reports all others as live peers, or until the time limit of `waitUntil`. */
   async waitUntilConnected(): Promise<void> {
     await launcher.waitUntil(async () => {
       const statuses = await Promise.all(
@@ -199,32 +213,36 @@
   }
 
   /**
-   * @param index - the daemon to ask
-   * @param path - of the administration API
-   * @returns what it answers
+   * Sends a GET request to the administration API.
+   *
+   * @param index - index of the daemon to call
+   * @param path - path in the administration API
+   * @returns the parsed JSON body
    */
   async admin<Value>(index: number, path: string): Promise<Value> {
     const headers = { authorization: `Bearer ${OPERATOR_TOKEN}` };
     const signal = AbortSignal.timeout(ADMIN_TIMEOUT_MS);
-    const reply = await fetch(`${this.daemon(index).adminUrl}${path}`, { headers, signal });
-    return (await reply.json()) as Value;
+    const response = await fetch(`${this.daemon(index).adminUrl}${path}`, { headers, signal });
+    return (await response.json()) as Value;
   }
 
   /**
-   * @param url - a stand-in's address
-   * @returns what it has on record
+   * @param url - address of a stand-in
+   * @returns the entries of its journal
    */
   async journal(url: string): Promise<standIn.JournalEntry[]> {
-    const reply = await fetch(`${url}/journal`);
-    return (await reply.json()) as standIn.JournalEntry[];
+    const response = await fetch(`${url}/journal`);
+    return (await response.json()) as standIn.JournalEntry[];
   }
 
   /**
-   * @param url - a stand-in's address
-   * @param change - of its fault switches
+   * Sets fault switches of a stand-in.
+   *
+   * @param url - address of the stand-in
+   * @param change - the switches to set
    */
   async setFaults(url: string, change: faults.FaultChange): Promise<void> {
-    // The switch may close the very connection that its reply comes on, or one kept from before.
+    // The switch may close the connection that carries its reply, or an older kept-alive connection, so retry once.
     const headers = { "content-type": "application/json", connection: "close" };
     const post = (): Promise<Response> =>
       fetch(`${url}/faults`, { method: "POST", headers, body: JSON.stringify(change) });
@@ -232,7 +250,9 @@
   }
 
   /**
-   * @param states - the list of VMs as the platform is to show it
+   * Replaces the VM list.
+   *
+   * @param states - state of each VM, by name
    */
   async listVms(states: Readonly<Record<string, "live" | "leaving" | "gone">>): Promise<void> {
     const list = Object.entries(states).map(([vm, state]) => ({ vm, dataCentre: "halle-a", state }));
@@ -241,10 +261,12 @@
   }
 
   /**
-   * @param index - the daemon to use
-   * @param key - Idempotency-Key
-   * @param body - of the call
-   * @returns the reply to a label print
+   * Calls the plain service to print a label.
+   *
+   * @param index - index of the daemon to call
+   * @param key - value of the Idempotency-Key header
+   * @param body - body of the call
+   * @returns the response
    */
   printLabel(index: number, key: string, body = `label ${key}`): Promise<Response> {
     return fetch(`${this.daemon(index).url}/v1/services/yard-app/labels`, {
@@ -255,11 +277,13 @@
   }
 
   /**
-   * @param index - the daemon to use
-   * @param prompt - of the request
-   * @param tokens - length of the answer
-   * @param stream - whether it comes piece by piece
-   * @returns the reply to a model request
+   * Sends a chat completion request.
+   *
+   * @param index - index of the daemon to call
+   * @param prompt - text of the prompt
+   * @param tokens - maximum length of the answer in tokens
+   * @param stream - whether the answer is streamed
+   * @returns the response
    */
   requestCompletion(index: number, prompt: string, tokens: number, stream = true): Promise<Response> {
     return fetch(`${this.daemon(index).url}/v1/chat/completions`, {
@@ -274,35 +298,38 @@
     });
   }
 
-  /** Ends every process of the fleet. */
+  /** Kills every process of the fleet. */
   stop(): void {
     this.launcher.stopAll();
   }
 }
 
-/** What a caller has of a stream. */
+/** What was read from a streamed completion. */
 export interface ReadStream {
   readonly text: string;
+  /** Whether the stream ended with its `[DONE]` marker. */
   readonly complete: boolean;
   readonly lastEventId: string;
 }
 
 /**
- * @param reply - a streamed reply
- * @param onPiece - told of the number of pieces so far; returns false to stop reading
+ * Reads a streamed completion until it ends, breaks off or the callback stops it.
+ *
+ * @param response - the streamed response
+ * @param onChunk - called with the number of chunks read so far; returns false to stop reading
  * @returns what was read
  */
 export async function readStream(
-  reply: Response,
-  onPiece: (pieces: number) => boolean = () => true,
+  response: Response,
+  onChunk: (chunks: number) => boolean = () => true,
 ): Promise<ReadStream> {
-  let [text, lastEventId, rest] = ["", "", ""];
-  let pieces = 0;
+  let [text, lastEventId, incompleteEvent] = ["", "", ""];
+  let chunks = 0;
   const decoder = new TextDecoder();
   try {
-    for await (const chunk of reply.body ?? []) {
-      const events = (rest + decoder.decode(chunk as Uint8Array, { stream: true })).split("\n\n");
-      rest = events.pop() ?? "";
+    for await (const bytes of response.body ?? []) {
+      const events = (incompleteEvent + decoder.decode(bytes as Uint8Array, { stream: true })).split("\n\n");
+      incompleteEvent = events.pop() ?? "";
       for (const event of events) {
         if (event === "data: [DONE]") return { text, complete: true, lastEventId };
         const data = /^data: (.*)$/m.exec(event)?.[1];
@@ -310,8 +337,8 @@
         lastEventId = /^id: (.*)$/m.exec(event)?.[1] ?? lastEventId;
         const body = JSON.parse(data) as { choices: { delta: { content: string } }[] };
         text += body.choices[0]?.delta.content ?? "";
-        pieces++;
-        if (!onPiece(pieces)) return { text, complete: false, lastEventId };
+        chunks++;
+        if (!onChunk(chunks)) return { text, complete: false, lastEventId };
       }
     }
   } catch {
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -1,4 +1,4 @@
-/** Small processes in place of the platform and the endpoints, with fault switches and journals. */
+/** Stand-ins for the platform services and the endpoints, each with fault switches and a journal of what it received. */
 export * from "./answers.js";
 export * from "./engine.js";
 export * from "./engineModel.js";
--- a/packages/stand-ins/src/keyValueStore.ts
+++ b/packages/stand-ins/src/keyValueStore.ts
@@ -1,15 +1,16 @@
-/** The part of the etcd v3 data model that the product uses, kept in memory. */
+/** In-memory implementation of the subset of the etcd v3 data model that the daemons use. */
 
-/** A key with its value and revisions. */
+/** A key with its value, revisions and lease. */
 export interface StoredValue {
   readonly key: string;
   readonly value: string;
   readonly createRevision: number;
   readonly modRevision: number;
+  /** Id of the lease that the key is attached to; "0" if there is none. */
   readonly lease: string;
 }
 
-/** A change that watches are told of. */
+/** A change that is reported to watches. */
 export interface StoreEvent {
   readonly revision: number;
   readonly key: string;
@@ -17,7 +18,7 @@
   readonly stored?: StoredValue;
 }
 
-/** A condition of a transaction. */
+/** A condition of a transaction: the key's creation or modification revision must equal `revision`. */
 export interface StoreCompare {
   readonly key: string;
   readonly target: "CREATE" | "MOD";
@@ -34,16 +35,17 @@
   expiresAt: number;
 }
 
-const EVENT_HISTORY = 10_000;
+/** Number of events kept for watches that start at an earlier revision. */
+const MAX_HISTORY_EVENTS = 10_000;
 
-/** Keys, leases and the history of changes. */
+/** Stores keys, leases and the most recent changes. */
 export class KeyValueStore {
   readonly #values = new Map<string, StoredValue>();
   readonly #leases = new Map<string, Lease>();
   readonly #listeners = new Set<(events: StoreEvent[]) => void>();
   #history: StoreEvent[] = [];
   #revision = 1;
-  #nextLease = 1000;
+  #nextLeaseId = 1000;
 
   /** @returns the revision of the latest change */
   get revision(): number {
@@ -51,48 +53,52 @@
   }
 
   /**
-   * @param key - first key
-   * @param rangeEnd - end of the range, not included; missing for one key
-   * @returns the values in order of their keys
+   * @param key - first key of the range
+   * @param rangeEnd - exclusive end of the range; undefined to read a single key
+   * @returns the stored values, sorted by key
    */
   range(key: string, rangeEnd?: string): StoredValue[] {
     if (rangeEnd === undefined) {
       const stored = this.#values.get(key);
       return stored ? [stored] : [];
     }
-    const found = [...this.#values.values()].filter((stored) => stored.key >= key && stored.key < rangeEnd);
-    return found.sort((left, right) => (left.key < right.key ? -1 : 1));
+    const inRange = [...this.#values.values()].filter((stored) => stored.key >= key && stored.key < rangeEnd);
+    return inRange.sort((left, right) => (left.key < right.key ? -1 : 1));
   }
 
   /**
-   * @param compares - all must hold
-   * @param writes - done together when they do
+   * Applies writes atomically if all conditions hold.
+   *
+   * @param compares - the conditions
+   * @param writes - the writes
    * @returns whether the conditions held
    */
   transact(compares: readonly StoreCompare[], writes: readonly StoreWrite[]): boolean {
     if (!compares.every((compare) => this.#holds(compare))) return false;
     if (writes.length === 0) return true;
     this.#revision++;
-    const events = writes.flatMap((write) => this.#write(write));
+    const events = writes.flatMap((write) => this.#applyWrite(write));
     this.#publish(events);
     return true;
   }
 
   /**
-   * @param ttlMs - time to live
-   * @param now - current time
+   * @param ttlMs - time to live in milliseconds
+   * @param now - current time in milliseconds
    * @returns the id of a new lease
    */
   grantLease(ttlMs: number, now: number): string {
-    const id = String(this.#nextLease++);
+    const id = String(this.#nextLeaseId++);
     this.#leases.set(id, { ttlMs, expiresAt: now + ttlMs });
     return id;
   }
 
   /**
-   * @param id - the lease
-   * @param now - current time
-   * @returns its time to live in milliseconds, 0 if it is gone
+   * Renews a lease.
+   *
+   * @param id - id of the lease
+   * @param now - current time in milliseconds
+   * @returns its time to live in milliseconds, or 0 if the lease doesn't exist
    */
   keepAlive(id: string, now: number): number {
     const lease = this.#leases.get(id);
@@ -101,7 +107,11 @@
     return lease.ttlMs;
   }
 
-  /** @param id - the lease to end, with its keys */
+  /**
+   * Deletes a lease and the keys attached to it.
+   *
+   * @param id - id of the lease
+   */
   revokeLease(id: string): void {
     if (!this.#leases.delete(id)) return;
     const keys = [...this.#values.values()].filter((stored) => stored.lease === id);
@@ -112,7 +122,11 @@
     );
   }
 
-  /** @param now - current time; leases that have run out end */
+  /**
+   * Revokes all expired leases.
+   *
+   * @param now - current time in milliseconds
+   */
   expireLeases(now: number): void {
     for (const [id, lease] of this.#leases) {
       if (lease.expiresAt <= now) this.revokeLease(id);
@@ -120,18 +134,18 @@
   }
 
   /**
-   * @param revision - the first revision wanted
-   * @returns the events since then, or undefined if they were compacted
+   * @param revision - first revision to return
+   * @returns the events from that revision on, or undefined if some of them were compacted
    */
   eventsSince(revision: number): StoreEvent[] | undefined {
     const oldest = this.#history[0]?.revision ?? this.#revision + 1;
-    if (this.#history.length === EVENT_HISTORY && revision < oldest) return undefined;
+    if (this.#history.length === MAX_HISTORY_EVENTS && revision < oldest) return undefined;
     return this.#history.filter((event) => event.revision >= revision);
   }
 
   /**
-   * @param listener - told of each change
-   * @returns a function that ends it
+   * @param listener - called with the events of each change
+   * @returns a function that ends the subscription
    */
   subscribe(listener: (events: StoreEvent[]) => void): () => void {
     this.#listeners.add(listener);
@@ -144,11 +158,11 @@
     return (actual ?? 0) === compare.revision;
   }
 
-  #write(write: StoreWrite): StoreEvent[] {
+  #applyWrite(write: StoreWrite): StoreEvent[] {
     if (write.kind === "delete") {
-      const gone = this.range(write.key, write.rangeEnd);
-      for (const stored of gone) this.#values.delete(stored.key);
-      return gone.map((stored) => ({ revision: this.#revision, key: stored.key }));
+      const deleted = this.range(write.key, write.rangeEnd);
+      for (const stored of deleted) this.#values.delete(stored.key);
+      return deleted.map((stored) => ({ revision: this.#revision, key: stored.key }));
     }
     const stored: StoredValue = {
       key: write.key,
@@ -162,7 +176,7 @@
   }
 
   #publish(events: StoreEvent[]): void {
-    this.#history = [...this.#history, ...events].slice(-EVENT_HISTORY);
+    this.#history = [...this.#history, ...events].slice(-MAX_HISTORY_EVENTS);
     for (const listener of this.#listeners) listener(events);
   }
 }
--- a/packages/stand-ins/src/main.ts
+++ b/packages/stand-ins/src/main.ts
@@ -44,11 +44,11 @@
     description: "prefill, decode or mixed",
   });
   ignoresFencing = clipanion.Option.Boolean("--ignores-fencing", false, {
-    description: "take orders whatever their fencing number",
+    description: "accept orders regardless of their fencing number",
   });
   speed = clipanion.Option.String("--speed", "1", {
     validator: typanion.isNumber(),
-    description: "how many times faster than the cost model",
+    description: "speed factor relative to the cost model",
   });
 
   protected start(options: standIn.ListenOptions): Promise<standIn.RunningStandIn> {
@@ -61,7 +61,7 @@
   static override paths = [["service"]];
   duration = clipanion.Option.String("--duration", "5", {
     validator: typanion.isNumber(),
-    description: "milliseconds that one call takes",
+    description: "duration of a call in milliseconds",
   });
 
   protected start(options: standIn.ListenOptions): Promise<standIn.RunningStandIn> {
--- a/packages/stand-ins/src/plainService.ts
+++ b/packages/stand-ins/src/plainService.ts
@@ -4,16 +4,16 @@
 
 const DEFAULT_DURATION_MS = 5;
 
-/** Settings of a plain service. */
+/** Settings of a plain service stand-in. */
 export interface PlainServiceOptions {
-  /** Milliseconds that one call takes. */
+  /** Duration of a call in milliseconds. */
   readonly durationMs?: number;
 }
 
-/** A plain service such as a label printer: every call it runs is put on record. */
+/** Simulates a plain service such as a label printer; the journal has an entry for every executed call. */
 export class PlainServiceStandIn extends standIn.StandIn {
   readonly #durationMs: number;
-  #executions = 0;
+  #executionCount = 0;
 
   /** @param options - duration of a call */
   constructor(options: PlainServiceOptions = {}) {
@@ -27,10 +27,10 @@
     const body = await context.req.text();
     const requestId = context.req.header("x-request-id") ?? "";
     const key = context.req.header("idempotency-key") ?? "";
-    const execution = ++this.#executions;
+    const execution = ++this.#executionCount;
     this.record({ event: "executed", requestId, key, path: context.req.path, body, execution });
     await standIn.delay(this.#durationMs);
-    if (this.faults.takeDroppedReply()) {
+    if (this.faults.consumeDroppedReply()) {
       context.env.incoming.socket.destroy();
       return nodeServer.RESPONSE_ALREADY_SENT;
     }
--- a/packages/stand-ins/src/standIn.ts
+++ b/packages/stand-ins/src/standIn.ts
@@ -1,24 +1,25 @@
 import type * as http from "node:http";
 import type * as net from "node:net";
 import * as nodeServer from "@hono/node-server";
-import * as sent from "@hono/node-server/utils/response";
+import * as nodeResponse from "@hono/node-server/utils/response";
 import * as hono from "hono";
 import * as faultsModule from "./faults.js";
 
-const JOURNAL_LIMIT = 200_000;
+/** Further entries are discarded. */
+const MAX_JOURNAL_ENTRIES = 200_000;
 
-/** What hono hands to a handler under Node.js. */
+/** The hono environment of a handler that runs under Node.js. */
 export interface Environment {
   Bindings: nodeServer.HttpBindings;
 }
 
-/** One entry of a journal: what was received and what came of it. */
+/** An entry of the journal: an event, such as a received request or its result, and its fields. */
 export interface JournalEntry {
   readonly event: string;
   readonly [field: string]: unknown;
 }
 
-/** A stand-in that listens: its address, its journal and its switches. */
+/** A listening stand-in: its address, its journal and its fault switches. */
 export interface RunningStandIn {
   readonly url: string;
   readonly port: number;
@@ -30,33 +31,40 @@
 /** Where a stand-in listens. */
 export interface ListenOptions {
   readonly host?: string;
-  /** 0 takes a free port. */
+  /** 0 selects a free port. */
   readonly port?: number;
 }
 
-/** The frame shared by all stand-ins: fault switches, a journal and an HTTP server. */
+/** Base class of all stand-ins: an HTTP server with fault switches and a journal. */
 export class StandIn {
   readonly app = new hono.Hono<Environment>();
   readonly faults = new faultsModule.Faults();
   readonly journal: JournalEntry[] = [];
 
   constructor() {
+    // Registered before the fault middleware, which therefore does not apply to these two routes.
     this.app.post("/faults", async (context) => {
       this.faults.apply(await context.req.json());
       return context.json({ ok: true });
     });
     this.app.get("/journal", (context) => context.json(this.journal));
-    this.app.use("*", (context, next) => this.#throughFaults(context, next));
+    this.app.use("*", (context, next) => this.#applyFaults(context, next));
   }
 
-  /** @param entry - what to put on record */
+  /**
+   * Appends an entry with the current time to the journal.
+   *
+   * @param entry - the entry
+   */
   record(entry: JournalEntry): void {
-    if (this.journal.length < JOURNAL_LIMIT) this.journal.push({ at: Date.now(), ...entry });
+    if (this.journal.length < MAX_JOURNAL_ENTRIES) this.journal.push({ at: Date.now(), ...entry });
   }
 
   /**
+   * Starts the HTTP server.
+   *
    * @param options - host and port
-   * @param onClose - run when the stand-in closes
+   * @param onClose - called when the stand-in closes
    * @returns the listening stand-in
    */
   listen(options: ListenOptions, onClose: () => void = () => undefined): Promise<RunningStandIn> {
@@ -77,29 +85,29 @@
     });
   }
 
-  async #throughFaults(context: hono.Context<Environment>, next: hono.Next): Promise<Response | undefined> {
+  async #applyFaults(context: hono.Context<Environment>, next: hono.Next): Promise<Response | undefined> {
     const socket = context.env.incoming.socket;
     if (this.faults.down) {
       socket.destroy();
-      return sent.RESPONSE_ALREADY_SENT;
+      return nodeResponse.RESPONSE_ALREADY_SENT;
     }
-    if (this.faults.isSilenced(socket)) return neverAnswer();
+    if (this.faults.isSilenced(socket)) return neverRespond();
     if (this.faults.slowMs > 0) await delay(this.faults.slowMs);
     await next();
-    if (this.faults.isSilenced(socket)) return neverAnswer();
+    if (this.faults.isSilenced(socket)) return neverRespond();
     return undefined;
   }
 }
 
 /**
- * @param milliseconds - how long to wait
- * @returns a promise that settles after that time
+ * @param milliseconds - the duration
+ * @returns a promise that resolves after that time
  */
 export function delay(milliseconds: number): Promise<void> {
   return new Promise((resolve) => setTimeout(resolve, milliseconds));
 }
 
-function neverAnswer(): Promise<Response> {
+function neverRespond(): Promise<Response> {
   return new Promise(() => undefined);
 }
 
--- a/packages/stand-ins/src/vmList.ts
+++ b/packages/stand-ins/src/vmList.ts
@@ -7,20 +7,20 @@
   state: zod.enum(["live", "leaving", "gone"]),
 });
 
-/** One VM as the list tells it. */
+/** A VM as listed by the platform. */
 export type ListedVm = zod.infer<typeof vmSchema>;
 
-/** The platform's list of VMs; what is put in shows after the report lag. */
+/** Stand-in for the platform's VM list; a posted list becomes visible after `reportLagMs`. */
 export class VmListStandIn extends standIn.StandIn {
-  #shown: ListedVm[] = [];
+  #visibleVms: ListedVm[] = [];
 
   constructor() {
     super();
-    this.app.get("/vms", (context) => context.json(this.#shown));
+    this.app.get("/vms", (context) => context.json(this.#visibleVms));
     this.app.post("/vms", async (context) => {
       const list = zod.array(vmSchema).parse(await context.req.json());
       await standIn.delay(this.faults.reportLagMs);
-      this.#shown = list;
+      this.#visibleVms = list;
       return context.json({ ok: true });
     });
   }
