--- a/packages/daemon/tests/atMostOnce.test.ts
+++ b/packages/daemon/tests/atMostOnce.test.ts
@@ -59,7 +59,7 @@
  * replies. The daemon reads the claims back, finds its own and continues.
  */
 suite("a lost reply to a claim write runs no call twice", async () => {
-  await fleet.fault(fleet.keyValueUrl, { dropReplies: 3 });
+  await fleet.setFaults(fleet.keyValueUrl, { dropReplies: 3 });
   const keys = Array.from({ length: 20 }, (_, index) => `lost-${index}`);
   const results = await Promise.all(keys.map((key, index) => send(index % 3, key)));
   const counts = await executions();
@@ -68,7 +68,7 @@
     else assert.is(result.outcome, "not-run");
     assert.ok((counts.get(result.key) ?? 0) <= 1);
   }
-  await fleet.fault(fleet.keyValueUrl, { dropReplies: 0 });
+  await fleet.setFaults(fleet.keyValueUrl, { dropReplies: 0 });
 });
 
 /*
@@ -76,13 +76,13 @@
  * outcome "not-run" and reaches no printer. After the outage it runs once.
  */
 suite("a call rejected during an outage has not run", async () => {
-  await fleet.fault(fleet.keyValueUrl, { down: true });
+  await fleet.setFaults(fleet.keyValueUrl, { down: true });
   const refused = await send(0, "outage");
   assert.is(refused.status, 503);
   assert.is(refused.outcome, "not-run");
   assert.is((await executions()).get("outage"), undefined);
-  await fleet.fault(fleet.keyValueUrl, { down: false });
-  const answered = await standIns.until(async () => (await send(1, "outage")).status === 200);
+  await fleet.setFaults(fleet.keyValueUrl, { down: false });
+  const answered = await standIns.waitUntil(async () => (await send(1, "outage")).status === 200);
   assert.ok(answered);
   assert.is((await executions()).get("outage"), 1);
 });
--- a/packages/daemon/tests/configuration.test.ts
+++ b/packages/daemon/tests/configuration.test.ts
@@ -25,7 +25,7 @@
 }
 
 function isAppliedEverywhere(deadlineMs: number): Promise<boolean> {
-  return standIns.until(async () => (await deadlines()).every((deadline) => deadline === deadlineMs));
+  return standIns.waitUntil(async () => (await deadlines()).every((deadline) => deadline === deadlineMs));
 }
 
 /*
@@ -56,9 +56,9 @@
  */
 suite("a lost reply to the write of a change is resolved by reading back", async () => {
   const version = await currentVersion();
-  await fleet.fault(fleet.keyValueUrl, { dropReplies: 1 });
+  await fleet.setFaults(fleet.keyValueUrl, { dropReplies: 1 });
   const reply = await fleet.apply(fleet.document({ plainDeadlineMs: 2000 }), version);
-  await fleet.fault(fleet.keyValueUrl, { dropReplies: 0 });
+  await fleet.setFaults(fleet.keyValueUrl, { dropReplies: 0 });
   assert.ok(reply.status === 200 || (await currentVersion()) === version + 1);
   assert.ok(await isAppliedEverywhere(2000));
 });
@@ -71,11 +71,11 @@
 suite("a change accepted just before an outage is applied during it", async () => {
   const version = await currentVersion();
   const reply = await fleet.apply(fleet.document({ plainDeadlineMs: 3000 }), version, 4);
-  await fleet.fault(fleet.keyValueUrl, { down: true });
+  await fleet.setFaults(fleet.keyValueUrl, { down: true });
   assert.is(reply.status, 200);
   assert.ok(await isAppliedEverywhere(3000));
-  await fleet.fault(fleet.keyValueUrl, { down: false });
-  assert.ok(await standIns.until(async () => (await currentVersion()) === version + 1));
+  await fleet.setFaults(fleet.keyValueUrl, { down: false });
+  assert.ok(await standIns.waitUntil(async () => (await currentVersion()) === version + 1));
   assert.ok(await isAppliedEverywhere(3000));
 });
 
@@ -97,8 +97,8 @@
  * is applied everywhere.
  */
 suite("silent watches are reopened", async () => {
-  await fleet.fault(fleet.keyValueUrl, { silenceOpenConnections: true });
-  await standIns.until(
+  await fleet.setFaults(fleet.keyValueUrl, { silenceOpenConnections: true });
+  await standIns.waitUntil(
     async () => (await fleet.apply(fleet.document({ plainDeadlineMs: 6000 }), await currentVersion())).ok,
   );
   assert.ok(await isAppliedEverywhere(6000));
--- a/packages/daemon/tests/lateAnswers.test.ts
+++ b/packages/daemon/tests/lateAnswers.test.ts
@@ -30,7 +30,7 @@
   const [replaced] = fleet.services;
   if (replaced) fleet.services[0] = { ...replaced, url: `http://127.0.0.1:${port}` };
   await fleet.configure();
-  await fleet.meshed();
+  await fleet.waitUntilConnected();
 });
 suite.after(() => {
   endpoint.close();
@@ -86,10 +86,10 @@
   const head = `POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer ${standIns.TEAM_TOKEN}\r\ncontent-length: ${body.length}\r\n\r\n`;
   const socket = net.connect(Number(port), "127.0.0.1", () => socket.write(head + body));
   socket.pause();
-  const read = await standIns.readStream(await fleet.ask(0, "meanwhile", 10));
+  const read = await standIns.readStream(await fleet.requestCompletion(0, "meanwhile", 10));
   assert.ok(read.complete);
   // The endpoint has failed three times in the tests above and is in backoff for a while.
-  assert.ok(await standIns.until(async () => (await send("fine")).text === "done fine"));
+  assert.ok(await standIns.waitUntil(async () => (await send("fine")).text === "done fine"));
   socket.destroy();
 });
 
--- a/packages/daemon/tests/outage.test.ts
+++ b/packages/daemon/tests/outage.test.ts
@@ -19,8 +19,8 @@
   let [sent, answered] = [0, 0];
   while (Date.now() < end) {
     const prompt = `${name} ${sent}`;
-    const read = await standIns.readStream(await fleet.ask(sent % 3, prompt, 5));
-    if (read.complete && read.text === standIns.wholeAnswer(prompt, 5)) answered++;
+    const read = await standIns.readStream(await fleet.requestCompletion(sent % 3, prompt, 5));
+    if (read.complete && read.text === standIns.expectedAnswer(prompt, 5)) answered++;
     sent++;
   }
   return { sent, answered };
@@ -32,11 +32,11 @@
  * again after the outage.
  */
 suite("idempotent requests are served during an outage", async () => {
-  await fleet.fault(fleet.keyValueUrl, { down: true });
+  await fleet.setFaults(fleet.keyValueUrl, { down: true });
   const served = await sendRequestsFor(OUTAGE_MS, "outage");
   assert.is(served.answered, served.sent);
-  await fleet.fault(fleet.keyValueUrl, { down: false });
-  assert.ok(await standIns.until(async () => (await fleet.printLabel(0, "after-outage")).status === 200));
+  await fleet.setFaults(fleet.keyValueUrl, { down: false });
+  assert.ok(await standIns.waitUntil(async () => (await fleet.printLabel(0, "after-outage")).status === 200));
 });
 
 /*
@@ -45,15 +45,15 @@
  * can't be written is rejected instead of held.
  */
 suite("idempotent requests are served while the service is slow", async () => {
-  await fleet.fault(fleet.keyValueUrl, { slowMs: SLOW_MS });
+  await fleet.setFaults(fleet.keyValueUrl, { slowMs: SLOW_MS });
   const served = await sendRequestsFor(OUTAGE_MS / 2, "slow");
   assert.is(served.answered, served.sent);
   const label = await fleet.printLabel(1, "while-slow");
   assert.is(label.status, 503);
   assert.is(label.headers.get("x-outcome"), "not-run");
   assert.ok(Number(label.headers.get("retry-after")) > 0);
-  await fleet.fault(fleet.keyValueUrl, { slowMs: 0 });
-  assert.ok(await standIns.until(async () => (await fleet.printLabel(1, "while-slow")).status === 200));
+  await fleet.setFaults(fleet.keyValueUrl, { slowMs: 0 });
+  assert.ok(await standIns.waitUntil(async () => (await fleet.printLabel(1, "while-slow")).status === 200));
   const printed = await fleet.journal(fleet.services[0]?.url ?? "");
   assert.is(printed.filter((entry) => entry.key === "while-slow").length, 1);
 });
--- a/packages/daemon/tests/plannedChanges.test.ts
+++ b/packages/daemon/tests/plannedChanges.test.ts
@@ -16,12 +16,12 @@
 async function beginStreams(name: string, count: number, daemons: readonly number[]): Promise<Promise<number>> {
   const replies = await Promise.all(
     Array.from({ length: count }, (_, index) =>
-      fleet.ask(daemons[index % daemons.length] ?? 0, `${name} ${index}`, TOKENS),
+      fleet.requestCompletion(daemons[index % daemons.length] ?? 0, `${name} ${index}`, TOKENS),
     ),
   );
   const reads = replies.map(async (reply, index) => {
     const read = await standIns.readStream(reply);
-    return read.complete && read.text === standIns.wholeAnswer(`${name} ${index}`, TOKENS);
+    return read.complete && read.text === standIns.expectedAnswer(`${name} ${index}`, TOKENS);
   });
   return Promise.all(reads).then((complete) => complete.filter(Boolean).length);
 }
@@ -48,14 +48,14 @@
  */
 suite("a drained engine gets no new work and its streams complete", async () => {
   const before = await beginStreams("before drain", 30, [0, 1, 2]);
-  await fleet.fault(fleet.keyValueUrl, { silenceOpenConnections: true });
+  await fleet.setFaults(fleet.keyValueUrl, { silenceOpenConnections: true });
   await fleet.configure({ draining: ["engine-1"] });
   const started = await startedAt(0);
   const after = await beginStreams("after drain", 30, [0, 1, 2]);
   assert.is(await before, 30);
   assert.is(await after, 30);
   assert.is(await startedAt(0), started);
-  assert.ok(await standIns.until(async () => (await orderOf("leoben/engine-1")).includes("drained")));
+  assert.ok(await standIns.waitUntil(async () => (await orderOf("leoben/engine-1")).includes("drained")));
 });
 
 /*
@@ -67,7 +67,7 @@
   await fleet.configure({ roles: ["prefill", "decode", "mixed"] });
   assert.is(await streams, 30);
   assert.ok(
-    await standIns.until(
+    await standIns.waitUntil(
       async () =>
         (await orderOf("leoben/engine-1")).endsWith("settled prefill") &&
         (await orderOf("leoben/engine-2")).endsWith("settled decode"),
@@ -92,13 +92,13 @@
   const { child } = fleet.daemon(0);
   const exited = new Promise<number | null>((resolve) => child.once("exit", resolve));
   child.kill("SIGTERM");
-  const isRemoved = await standIns.until(async () => {
+  const isRemoved = await standIns.waitUntil(async () => {
     const reply = await fetch(`${fleet.daemon(1).url}/v1/addresses`);
     const { addresses } = (await reply.json()) as { addresses: { vm: string }[] };
     return addresses.every((address) => address.vm !== "vm-1");
   });
   assert.ok(isRemoved);
-  const late = await fleet.ask(0, "late caller", 10);
+  const late = await fleet.requestCompletion(0, "late caller", 10);
   assert.is(late.status, 200);
   await late.body?.cancel();
   assert.is(await streams, 20);
--- a/packages/daemon/tests/wholeAnswers.test.ts
+++ b/packages/daemon/tests/wholeAnswers.test.ts
@@ -29,8 +29,8 @@
 suite("each caller gets the complete answer to its own request", async () => {
   const requests = Array.from({ length: 40 }, async (_, index) => {
     const prompt = `dossier ${index}`;
-    const reply = await fleet.ask(index % 3, prompt, 30, index % 2 === 0);
-    const expected = standIns.wholeAnswer(prompt, 30);
+    const reply = await fleet.requestCompletion(index % 3, prompt, 30, index % 2 === 0);
+    const expected = standIns.expectedAnswer(prompt, 30);
     if (index % 2 === 0) {
       const read = await standIns.readStream(reply);
       assert.ok(read.complete);
@@ -50,17 +50,17 @@
  */
 suite("a stream is resumed after its connection to the engine goes silent", async () => {
   const prompt = "silent engine";
-  const reply = await fleet.ask(0, prompt, TOKENS);
+  const reply = await fleet.requestCompletion(0, prompt, TOKENS);
   let faultInjected = false;
   const read = await standIns.readStream(reply, (chunks) => {
     if (chunks >= CHUNKS_BEFORE_FAILURE && !faultInjected) {
       faultInjected = true;
-      for (const engine of fleet.engines) void fleet.fault(engine.url, { silenceOpenConnections: true });
+      for (const engine of fleet.engines) void fleet.setFaults(engine.url, { silenceOpenConnections: true });
     }
     return true;
   });
   assert.ok(read.complete);
-  assert.is(read.text, standIns.wholeAnswer(prompt, TOKENS));
+  assert.is(read.text, standIns.expectedAnswer(prompt, TOKENS));
 });
 
 /*
@@ -69,7 +69,7 @@
  */
 suite("a caller resumes its stream through another daemon", async () => {
   const prompt = "daemon dies";
-  const reply = await fleet.ask(2, prompt, TOKENS);
+  const reply = await fleet.requestCompletion(2, prompt, TOKENS);
   const first = await standIns.readStream(reply, (chunks) => {
     if (chunks === CHUNKS_BEFORE_FAILURE) fleet.daemon(2).child.kill("SIGKILL");
     return true;
@@ -78,7 +78,7 @@
   const headers = { authorization: `Bearer ${standIns.TEAM_TOKEN}`, "last-event-id": first.lastEventId };
   const rest = await standIns.readStream(await fetch(`${fleet.daemon(1).url}/v1/streams/resume`, { headers }));
   assert.ok(rest.complete);
-  assert.is(first.text + rest.text, standIns.wholeAnswer(prompt, TOKENS));
+  assert.is(first.text + rest.text, standIns.expectedAnswer(prompt, TOKENS));
 });
 
 /*
@@ -87,7 +87,7 @@
  */
 suite("a stream is continued on another engine after its engine dies", async () => {
   const prompt = "engine dies";
-  const reply = await fleet.ask(0, prompt, TOKENS);
+  const reply = await fleet.requestCompletion(0, prompt, TOKENS);
   let killed = false;
   const read = await standIns.readStream(reply, (chunks) => {
     if (chunks >= CHUNKS_BEFORE_FAILURE && !killed) {
@@ -98,7 +98,7 @@
   });
   assert.ok(killed);
   assert.ok(read.complete);
-  assert.is(read.text, standIns.wholeAnswer(prompt, TOKENS));
+  assert.is(read.text, standIns.expectedAnswer(prompt, TOKENS));
 });
 
 suite.run();
--- a/packages/measure/src/engineFleet.ts
+++ b/packages/measure/src/engineFleet.ts
@@ -109,7 +109,7 @@
    * @returns whether the engine is unavailable because of a role change
    */
   isUnavailable(engine: number): boolean {
-    return this.#engine(engine).isAway(this.now);
+    return this.#engine(engine).isUnavailable(this.now);
   }
 
   /**
@@ -121,7 +121,7 @@
    */
   submit(engine: number, job: standIns.EngineJob, listener: JobListener): void {
     const model = this.#engine(engine);
-    if (model.isAway(this.now) || !model.accepts(job.part)) {
+    if (model.isUnavailable(this.now) || !model.accepts(job.part)) {
       this.schedule(1, () => {
         listener.onRefused();
       });
--- a/packages/measure/src/outageMeasure.ts
+++ b/packages/measure/src/outageMeasure.ts
@@ -26,11 +26,11 @@
   begin: standIns.FaultChange,
   end: standIns.FaultChange,
 ): Promise<gatewayMeasure.TableRow> {
-  await fleet.fault(fleet.keyValueUrl, begin);
+  await fleet.setFaults(fleet.keyValueUrl, begin);
   const served = await sendRequests(fleet, OUTAGE_MS);
-  await fleet.fault(fleet.keyValueUrl, end);
+  await fleet.setFaults(fleet.keyValueUrl, end);
   const rates = await measureCallRates(fleet);
-  const claimed = await standIns.until(async () => (await fleet.printLabel(4, `after-${name}`)).ok);
+  const claimed = await standIns.waitUntil(async () => (await fleet.printLabel(4, `after-${name}`)).ok);
   return {
     measure: `${OUTAGE_MS / 1000} s ${name}, 9 daemons`,
     "model requests": served.sent,
@@ -54,9 +54,9 @@
 
 async function sendRequest(fleet: standIns.Fleet, index: number): Promise<boolean> {
   const prompt = `outage ${index}`;
-  const reply = await fleet.ask(index % fleet.daemons.length, prompt, 8);
+  const reply = await fleet.requestCompletion(index % fleet.daemons.length, prompt, 8);
   const read = await standIns.readStream(reply);
-  return read.complete && read.text === standIns.wholeAnswer(prompt, 8);
+  return read.complete && read.text === standIns.expectedAnswer(prompt, 8);
 }
 
 async function measureCallRates(fleet: standIns.Fleet): Promise<number[]> {
--- a/scripts/demo.mjs
+++ b/scripts/demo.mjs
@@ -17,7 +17,7 @@
 async function main() {
   await fleet.startProcesses();
   await applyConfiguration();
-  await fleet.meshed();
+  await fleet.waitUntilConnected();
   const caller = new Caller(fleet.daemons);
   const calls = [];
   for (let index = 0; index < REQUESTS; index++) {
@@ -39,7 +39,7 @@
     CAMPHORCOURSE_TOKEN: standIns.OPERATOR_TOKEN,
     CAMPHORCOURSE_TEAM: "leoben",
   };
-  const applied = await fleet.launcher.tool(["config", "apply", "--wait", file], environment);
+  const applied = await fleet.launcher.runTool(["config", "apply", "--wait", file], environment);
   process.stdout.write(applied.output);
   await fs.rm(folder, { recursive: true });
   if (applied.code !== 0) throw new Error("the configuration was rejected");
