--- a/packages/core/src/claimDesk.ts
+++ b/packages/core/src/claimDesk.ts
@@ -16,13 +16,13 @@
 /** Brings each claim to its partition's preferred daemon, and the verdict back to the request. */
 export class ClaimDesk {
   readonly #context: ClaimContext;
-  readonly #book: claims.ClaimBook;
+  readonly #book: claims.ClaimTable;
   readonly #requests = new Map<string, string>();
 
   /** @param context - the daemon round the desk */
   constructor(context: ClaimContext) {
     this.#context = context;
-    this.#book = new claims.ClaimBook(context.incarnation);
+    this.#book = new claims.ClaimTable(context.incarnation);
   }
 
   /** @returns whether claims wait to be written */
@@ -37,7 +37,7 @@
   request(request: string, claim: claims.Claim): void {
     this.#requests.set(claim.attempt, request);
     const members = this.#context.servingMembers();
-    const partition = claims.ClaimBook.partitionOf(claim.key);
+    const partition = claims.ClaimTable.partitionOf(claim.key);
     const names = members.map((member) => member.vm);
     const [preferred] = common.rendezvousOrder(`claims/${partition}`, names);
     const owner = members.find((member) => member.vm === preferred);
--- a/packages/core/src/claims.ts
+++ b/packages/core/src/claims.ts
@@ -70,7 +70,7 @@
  * again and finds the other's claims before it answers. So the swap alone
  * keeps a key from being granted twice, whoever believes to own a partition.
  */
-export class ClaimBook {
+export class ClaimTable {
   readonly #writer: string;
   readonly #partitions = new Map<number, Partition>();
   #answers: ClaimAnswer[] = [];
@@ -97,7 +97,7 @@
    * @param claim - the claim
    */
   request(claim: Claim): void {
-    const partition = this.#partition(ClaimBook.partitionOf(claim.key));
+    const partition = this.#partition(ClaimTable.partitionOf(claim.key));
     if (partition.loaded && this.#answerFromStanding(partition, claim)) return;
     partition.waiting.push(claim);
   }
--- a/packages/core/tests/atMostOnce.test.ts
+++ b/packages/core/tests/atMostOnce.test.ts
@@ -197,12 +197,12 @@
 const claimBook = uvu.suite("claim book");
 
 claimBook("a claim whose write has an unknown outcome is settled by reading back", () => {
-  const book = new core.ClaimBook("writer");
+  const book = new core.ClaimTable("writer");
   const claim = { key: "key", digest: "d", vm: "vm-1", incarnation: "one", attempt: "a" };
   book.request(claim);
   const [read] = book.nextCommands(100, 0);
   assert.is(read?.kind, "read");
-  book.onRead(core.ClaimBook.partitionOf("key"), []);
+  book.onRead(core.ClaimTable.partitionOf("key"), []);
   const [write] = book.nextCommands(100, 0);
   assert.is(write?.kind, "write");
   book.onWritten({ outcome: core.TransactionOutcome.Unknown, revision: 0 });
@@ -210,7 +210,7 @@
   const puts = write?.kind === "write" ? write.transaction.puts : [];
   const records = puts.map(({ key, value }) => ({ key, value, createRevision: 5, modRevision: 5 }));
   assert.is(book.nextCommands(200, 0)[0]?.kind, "read");
-  book.onRead(core.ClaimBook.partitionOf("key"), records);
+  book.onRead(core.ClaimTable.partitionOf("key"), records);
   assert.is(book.takeAnswers()[0]?.verdict, core.ClaimVerdict.Granted);
 });
 
