--- a/packages/core/src/claimDesk.ts
+++ b/packages/core/src/claimDesk.ts
@@ -14,7 +14,7 @@
 }
 
 /** Brings each claim to its partition's preferred daemon, and the verdict back to the request. */
-export class ClaimDesk {
+export class ClaimManager {
   readonly #context: ClaimContext;
   readonly #book: claims.ClaimTable;
   readonly #requests = new Map<string, string>();
--- a/packages/core/src/controlEvents.ts
+++ b/packages/core/src/controlEvents.ts
@@ -19,7 +19,7 @@
   readonly follower: controlFollower.ControlFollower;
   readonly freshness: viewFreshness.ViewFreshness;
   readonly leaseDesk: leaseDesk.LeaseDesk;
-  readonly claimDesk: claimDesk.ClaimDesk;
+  readonly claimDesk: claimDesk.ClaimManager;
   readonly orderDesk: orderDesk.OrderDesk;
   readonly peerView: peerView.PeerView;
   readonly roster: membership.Roster;
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -63,7 +63,7 @@
   readonly #leaseDesk: leaseDesk.LeaseDesk;
   readonly #peerView: peerView.PeerView;
   readonly #freshness = new viewFreshness.ViewFreshness();
-  readonly #claimDesk: claimDesk.ClaimDesk;
+  readonly #claimDesk: claimDesk.ClaimManager;
   readonly #control: controlEvents.ControlEvents;
   readonly #random: common.SeededRandom;
   readonly #pools = new Map<string, servicePool.ServicePool>();
@@ -114,7 +114,7 @@
         this.#leaseDesk.onUnregistered();
       },
     });
-    this.#claimDesk = new claimDesk.ClaimDesk({
+    this.#claimDesk = new claimDesk.ClaimManager({
       ...context,
       servingMembers,
       onClaimAnswered: (request, verdict, standing) => {
