--- a/packages/core/src/controlEvents.ts
+++ b/packages/core/src/controlEvents.ts
@@ -18,7 +18,7 @@
   readonly store: controlStore.ControlStore;
   readonly follower: controlFollower.ControlFollower;
   readonly freshness: viewFreshness.ViewFreshness;
-  readonly leaseDesk: leaseDesk.LeaseDesk;
+  readonly leaseDesk: leaseDesk.LeaseManager;
   readonly claimDesk: claimDesk.ClaimManager;
   readonly orderDesk: orderDesk.OrderDesk;
   readonly peerView: peerView.PeerView;
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -60,7 +60,7 @@
   readonly requestDesk: requestDesk.RequestDesk;
   readonly #store = new controlStore.ControlStore();
   readonly #follower: controlFollower.ControlFollower;
-  readonly #leaseDesk: leaseDesk.LeaseDesk;
+  readonly #leaseDesk: leaseDesk.LeaseManager;
   readonly #peerView: peerView.PeerView;
   readonly #freshness = new viewFreshness.ViewFreshness();
   readonly #claimDesk: claimDesk.ClaimManager;
@@ -99,7 +99,7 @@
     this.orderDesk = new orderDesk.OrderDesk(context);
     this.#peerView = new peerView.PeerView(this.#pools, this.roster, this.orderDesk);
     const servingMembers = (): membership.Registration[] => this.servingMembers(this.#instant.now);
-    this.#leaseDesk = new leaseDesk.LeaseDesk(options.registration, {
+    this.#leaseDesk = new leaseDesk.LeaseManager(options.registration, {
       ...context,
       servingMembers,
       wantedShards: () => new Set(this.tree.services().map((service) => service.shard)),
--- a/packages/core/src/leaseDesk.ts
+++ b/packages/core/src/leaseDesk.ts
@@ -17,7 +17,7 @@
 }
 
 /** Keeps the daemon's lease, its registration under it, and the shards that fall to it. */
-export class LeaseDesk {
+export class LeaseManager {
   readonly #context: LeaseContext;
   readonly #lease = new leases.OwnLease();
   readonly #takingShards = new Set<string>();
