--- a/packages/core/src/controlEvents.ts
+++ b/packages/core/src/controlEvents.ts
@@ -20,7 +20,7 @@
   readonly freshness: viewFreshness.ViewFreshness;
   readonly leaseDesk: leaseDesk.LeaseManager;
   readonly claimDesk: claimDesk.ClaimManager;
-  readonly orderDesk: orderDesk.OrderDesk;
+  readonly orderDesk: orderDesk.OrderManager;
   readonly peerView: peerView.PeerView;
   readonly roster: membership.Roster;
   readonly shards: leases.ShardLeases;
--- a/packages/core/src/controlFollower.ts
+++ b/packages/core/src/controlFollower.ts
@@ -20,7 +20,7 @@
   readonly tree: configuration.ConfigurationTree;
   readonly roster: membership.Roster;
   readonly shards: leases.ShardLeases;
-  readonly orders: orderDesk.OrderDesk;
+  readonly orders: orderDesk.OrderManager;
   readonly pools: Map<string, servicePool.ServicePool>;
   /** This daemon's own registration has gone. */
   onUnregistered(): void;
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -56,7 +56,7 @@
   readonly tree = new configuration.ConfigurationTree();
   readonly roster: membership.Roster;
   readonly shards = new leases.ShardLeases();
-  readonly orderDesk: orderDesk.OrderDesk;
+  readonly orderDesk: orderDesk.OrderManager;
   readonly requestDesk: requestDesk.RequestDesk;
   readonly #store = new controlStore.ControlStore();
   readonly #follower: controlFollower.ControlFollower;
@@ -96,7 +96,7 @@
     };
     const limits = { answerBytes: options.answerBytes ?? DEFAULT_ANSWER_BYTES, windowMs: constants.CLAIM_WINDOW_MS };
     this.requestDesk = new requestDesk.RequestDesk(context, new attempts.AttemptBook(limits));
-    this.orderDesk = new orderDesk.OrderDesk(context);
+    this.orderDesk = new orderDesk.OrderManager(context);
     this.#peerView = new peerView.PeerView(this.#pools, this.roster, this.orderDesk);
     const servingMembers = (): membership.Registration[] => this.servingMembers(this.#instant.now);
     this.#leaseDesk = new leaseDesk.LeaseManager(options.registration, {
--- a/packages/core/src/orderDesk.ts
+++ b/packages/core/src/orderDesk.ts
@@ -19,7 +19,7 @@
  * record in the key-value service, written under the condition that the lease
  * still stands, so that a successor can tell how far its predecessor came.
  */
-export class OrderDesk {
+export class OrderManager {
   readonly #context: orderContext.OrderContext;
   readonly #book: orderBook.OrderBook;
   readonly #writer: orderWriter.OrderWriter;
--- a/packages/core/src/peerView.ts
+++ b/packages/core/src/peerView.ts
@@ -17,7 +17,7 @@
 export class PeerView {
   readonly #pools: ReadonlyMap<string, servicePool.ServicePool>;
   readonly #roster: membership.Roster;
-  readonly #orders: orderDesk.OrderDesk;
+  readonly #orders: orderDesk.OrderManager;
 
   /**
    * @param pools - the services at this daemon
@@ -27,7 +27,7 @@
   constructor(
     pools: ReadonlyMap<string, servicePool.ServicePool>,
     roster: membership.Roster,
-    orders: orderDesk.OrderDesk,
+    orders: orderDesk.OrderManager,
   ) {
     this.#pools = pools;
     this.#roster = roster;
