--- a/packages/core/src/orderBook.ts
+++ b/packages/core/src/orderBook.ts
@@ -19,7 +19,7 @@
 }
 
 /** The endpoints' latest orders, and what is known here of their changes. */
-export class OrderBook {
+export class OrderTable {
   readonly #context: orderContext.OrderContext;
   readonly #orders = new Map<string, orderContext.KnownOrder>();
   readonly #work = new Map<string, EndpointWork>();
--- a/packages/core/src/orderDesk.ts
+++ b/packages/core/src/orderDesk.ts
@@ -21,7 +21,7 @@
  */
 export class OrderManager {
   readonly #context: orderContext.OrderContext;
-  readonly #book: orderBook.OrderBook;
+  readonly #book: orderBook.OrderTable;
   readonly #writer: orderWriter.OrderWriter;
   readonly #succession: succession.Succession;
   readonly #chooser: changeChooser.ChangeChooser;
@@ -29,7 +29,7 @@
   /** @param context - the daemon round the desk */
   constructor(context: orderContext.OrderContext) {
     this.#context = context;
-    this.#book = new orderBook.OrderBook(context);
+    this.#book = new orderBook.OrderTable(context);
     this.#writer = new orderWriter.OrderWriter(context, this.#book);
     this.#succession = new succession.Succession(context);
     this.#chooser = new changeChooser.ChangeChooser({
--- a/packages/core/src/orderWriter.ts
+++ b/packages/core/src/orderWriter.ts
@@ -10,13 +10,13 @@
 /** Writes orders' records, each under the condition that the lease still stands. */
 export class OrderWriter {
   readonly #context: orderContext.OrderContext;
-  readonly #book: orderBook.OrderBook;
+  readonly #book: orderBook.OrderTable;
 
   /**
    * @param context - the daemon round the desk
    * @param book - the orders that are known
    */
-  constructor(context: orderContext.OrderContext, book: orderBook.OrderBook) {
+  constructor(context: orderContext.OrderContext, book: orderBook.OrderTable) {
     this.#context = context;
     this.#book = book;
   }
