--- a/packages/core/src/controlEvents.ts
+++ b/packages/core/src/controlEvents.ts
@@ -18,7 +18,7 @@
   readonly store: controlStore.ControlStore;
   readonly follower: controlFollower.ControlFollower;
   readonly freshness: viewFreshness.ViewFreshness;
-  readonly leaseDesk: leaseDesk.LeaseManager;
+  readonly leaseManager: leaseDesk.LeaseManager;
   readonly claimDesk: claimDesk.ClaimManager;
   readonly orderDesk: orderDesk.OrderManager;
   readonly peerView: peerView.PeerView;
@@ -56,14 +56,14 @@
         this.#onKeyValueHeard(event.revision, now);
         break;
       case events.EventType.KeyValueFailed:
-        this.#parts.leaseDesk.onFailed();
+        this.#parts.leaseManager.onFailed();
         if (this.#parts.freshness.onKeyValueFailed(now)) this.#note(timeline.EventKind.KeyValueLost);
         break;
       case events.EventType.LeaseRenewed:
-        this.#parts.leaseDesk.onRenewed(event.lease, event.sentAt, event.ttlMs);
+        this.#parts.leaseManager.onRenewed(event.lease, event.sentAt, event.ttlMs);
         break;
       case events.EventType.LeaseLost:
-        this.#parts.leaseDesk.onLost(now);
+        this.#parts.leaseManager.onLost(now);
         this.#note(timeline.EventKind.LeaseLost);
         break;
       case events.EventType.Transacted:
@@ -105,8 +105,8 @@
     const name = rest.join(":");
     if (kind === "claims") this.#parts.claimDesk.onWritten(result);
     if (kind === "order") this.#parts.orderDesk.onWritten(name, result, now);
-    if (kind === "lease") this.#parts.leaseDesk.onShardWritten(name);
-    if (kind === "register") this.#parts.leaseDesk.onRegistered(result.outcome);
+    if (kind === "lease") this.#parts.leaseManager.onShardWritten(name);
+    if (kind === "register") this.#parts.leaseManager.onRegistered(result.outcome);
   }
 
   #onKeysRead(token: string, records: readonly keyValue.KeyRecord[] | undefined, now: number): void {
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -125,7 +125,7 @@
       store: this.#store,
       follower: this.#follower,
       freshness: this.#freshness,
-      leaseDesk: this.#leaseDesk,
+      leaseManager: this.#leaseDesk,
       claimDesk: this.#claimDesk,
       orderDesk: this.orderDesk,
       peerView: this.#peerView,
