--- a/packages/core/src/controlEvents.ts
+++ b/packages/core/src/controlEvents.ts
@@ -19,7 +19,7 @@
   readonly follower: controlFollower.ControlFollower;
   readonly freshness: viewFreshness.ViewFreshness;
   readonly leaseManager: leaseDesk.LeaseManager;
-  readonly claimDesk: claimDesk.ClaimManager;
+  readonly claimManager: claimDesk.ClaimManager;
   readonly orderDesk: orderDesk.OrderManager;
   readonly peerView: peerView.PeerView;
   readonly roster: membership.Roster;
@@ -103,7 +103,7 @@
   #onTransacted(token: string, result: keyValue.TransactionResult, now: number): void {
     const [kind, ...rest] = token.split(":");
     const name = rest.join(":");
-    if (kind === "claims") this.#parts.claimDesk.onWritten(result);
+    if (kind === "claims") this.#parts.claimManager.onWritten(result);
     if (kind === "order") this.#parts.orderDesk.onWritten(name, result, now);
     if (kind === "lease") this.#parts.leaseManager.onShardWritten(name);
     if (kind === "register") this.#parts.leaseManager.onRegistered(result.outcome);
@@ -112,7 +112,7 @@
   #onKeysRead(token: string, records: readonly keyValue.KeyRecord[] | undefined, now: number): void {
     const [kind, ...rest] = token.split(":");
     const name = rest.join(":");
-    if (kind === "claims") this.#parts.claimDesk.onRead(Number(name), records);
+    if (kind === "claims") this.#parts.claimManager.onRead(Number(name), records);
     if (kind !== "order") return;
     this.#parts.follower.apply(records ?? [], now);
     this.#parts.orderDesk.onReadBack(name, records !== undefined, now);
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -126,7 +126,7 @@
       follower: this.#follower,
       freshness: this.#freshness,
       leaseManager: this.#leaseDesk,
-      claimDesk: this.#claimDesk,
+      claimManager: this.#claimDesk,
       orderDesk: this.orderDesk,
       peerView: this.#peerView,
       roster: this.roster,
