--- a/packages/core/src/controlEvents.ts
+++ b/packages/core/src/controlEvents.ts
@@ -20,7 +20,7 @@
   readonly freshness: viewFreshness.ViewFreshness;
   readonly leaseManager: leaseDesk.LeaseManager;
   readonly claimManager: claimDesk.ClaimManager;
-  readonly orderDesk: orderDesk.OrderManager;
+  readonly orderManager: orderDesk.OrderManager;
   readonly peerView: peerView.PeerView;
   readonly roster: membership.Roster;
   readonly shards: leases.ShardLeases;
@@ -82,13 +82,13 @@
         this.#parts.loads.set(event.report.endpoint, { report: event.report, at: now });
         break;
       case events.EventType.OrderAnswered:
-        this.#parts.orderDesk.onAnswered(event.endpoint, event.number, event.outcome, now);
+        this.#parts.orderManager.onAnswered(event.endpoint, event.number, event.outcome, now);
         break;
       case events.EventType.DeposeAsked:
         this.#parts.shards.depose(event.shard, event.epoch);
         break;
       case events.EventType.DeposeAnswered:
-        this.#parts.orderDesk.onDeposed(event.vm, event.incarnation, event.reset, event.shard);
+        this.#parts.orderManager.onDeposed(event.vm, event.incarnation, event.reset, event.shard);
         break;
       default:
         break;
@@ -104,7 +104,7 @@
     const [kind, ...rest] = token.split(":");
     const name = rest.join(":");
     if (kind === "claims") this.#parts.claimManager.onWritten(result);
-    if (kind === "order") this.#parts.orderDesk.onWritten(name, result, now);
+    if (kind === "order") this.#parts.orderManager.onWritten(name, result, now);
     if (kind === "lease") this.#parts.leaseManager.onShardWritten(name);
     if (kind === "register") this.#parts.leaseManager.onRegistered(result.outcome);
   }
@@ -115,7 +115,7 @@
     if (kind === "claims") this.#parts.claimManager.onRead(Number(name), records);
     if (kind !== "order") return;
     this.#parts.follower.apply(records ?? [], now);
-    this.#parts.orderDesk.onReadBack(name, records !== undefined, now);
+    this.#parts.orderManager.onReadBack(name, records !== undefined, now);
   }
 
   #onPeerHeard(report: membership.PeerReport, now: number): void {
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -127,7 +127,7 @@
       freshness: this.#freshness,
       leaseManager: this.#leaseDesk,
       claimManager: this.#claimDesk,
-      orderDesk: this.orderDesk,
+      orderManager: this.orderDesk,
       peerView: this.#peerView,
       roster: this.roster,
       shards: this.shards,
