--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -56,7 +56,7 @@
   readonly tree = new configuration.ConfigurationTree();
   readonly roster: membership.Roster;
   readonly shards = new leases.ShardLeases();
-  readonly orderDesk: orderDesk.OrderManager;
+  readonly orderManager: orderDesk.OrderManager;
   readonly requestDesk: requestDesk.RequestDesk;
   readonly #store = new controlStore.ControlStore();
   readonly #follower: controlFollower.ControlFollower;
@@ -96,8 +96,8 @@
     };
     const limits = { answerBytes: options.answerBytes ?? DEFAULT_ANSWER_BYTES, windowMs: constants.CLAIM_WINDOW_MS };
     this.requestDesk = new requestDesk.RequestDesk(context, new attempts.AttemptBook(limits));
-    this.orderDesk = new orderDesk.OrderManager(context);
-    this.#peerView = new peerView.PeerView(this.#pools, this.roster, this.orderDesk);
+    this.orderManager = new orderDesk.OrderManager(context);
+    this.#peerView = new peerView.PeerView(this.#pools, this.roster, this.orderManager);
     const servingMembers = (): membership.Registration[] => this.servingMembers(this.#instant.now);
     this.#leaseDesk = new leaseDesk.LeaseManager(options.registration, {
       ...context,
@@ -108,7 +108,7 @@
       ...context,
       store: this.#store,
       policy: options.policy ?? servicePool.POLICY_SETTINGS,
-      orders: this.orderDesk,
+      orders: this.orderManager,
       pools: this.#pools,
       onUnregistered: () => {
         this.#leaseDesk.onUnregistered();
@@ -127,7 +127,7 @@
       freshness: this.#freshness,
       leaseManager: this.#leaseDesk,
       claimManager: this.#claimDesk,
-      orderManager: this.orderDesk,
+      orderManager: this.orderManager,
       peerView: this.#peerView,
       roster: this.roster,
       shards: this.shards,
@@ -323,7 +323,7 @@
     this.#onSlowTick(now);
     this.requestDesk.onTick(now);
     for (const pool of this.#pools.values()) this.requestDesk.serveQueues(now, pool);
-    this.orderDesk.onTick(now);
+    this.orderManager.onTick(now);
   }
 
   /** What walks over all services and endpoints: changes of records bring them up to date at once besides. */
--- a/packages/core/tests/orders.test.ts
+++ b/packages/core/tests/orders.test.ts
@@ -49,7 +49,7 @@
   assert.is(harness.orders.length, 1);
   assert.is(harness.orders[0]?.role, core.EndpointRole.Prefill);
   for (const vm of VMS) {
-    const order = harness.core(vm).orderDesk.orderOf("leoben/engine-1");
+    const order = harness.core(vm).orderManager.orderOf("leoben/engine-1");
     assert.is(order?.record.phase, core.OrderPhase.Settled);
     assert.is(
       harness.core(vm).poolOf("leoben/assist-llm")?.endpoint("leoben/engine-1")?.role,
@@ -109,7 +109,7 @@
   harness.configure(documents.engineTeam(["prefill", "mixed"], false), "leoben");
   for (let waited = 0; waited < 5000; waited += 5) {
     harness.run(5);
-    if (harness.core(holder).orderDesk.orderOf(ENGINES[0] ?? "")?.record.phase === core.OrderPhase.Intended) break;
+    if (harness.core(holder).orderManager.orderOf(ENGINES[0] ?? "")?.record.phase === core.OrderPhase.Intended) break;
   }
   harness.pause(holder, 1e9);
   harness.run(40_000);
@@ -118,14 +118,14 @@
   const reasons = VMS.filter((vm) => vm !== holder).map((vm) =>
     harness
       .core(vm)
-      .orderDesk.waiting()
+      .orderManager.waiting()
       .get(ENGINES[0] ?? ""),
   );
   assert.ok(reasons.some((reason) => reason?.includes("former holder doesn't answer")));
   harness.vmStates.set(holder, core.VmState.Gone);
   harness.run(20_000);
   assert.is(harness.orders.length, 1);
-  assert.is(harness.core(successor).orderDesk.orderOf(ENGINES[0] ?? "")?.record.phase, core.OrderPhase.Settled);
+  assert.is(harness.core(successor).orderManager.orderOf(ENGINES[0] ?? "")?.record.phase, core.OrderPhase.Settled);
 });
 
 /*
--- a/packages/daemon/src/adminServer.ts
+++ b/packages/daemon/src/adminServer.ts
@@ -56,7 +56,7 @@
       livePeers: decisions.roster.livePeers(now).length,
       requests: decisions.requestDesk.size,
       leases: decisions.shards.all(),
-      waitingChanges: Object.fromEntries(decisions.orderDesk.waiting()),
+      waitingChanges: Object.fromEntries(decisions.orderManager.waiting()),
     };
   }
 
@@ -100,7 +100,7 @@
 
   #endpoints(caller: authority.Caller): object[] {
     const { core: decisions } = this.#daemon;
-    const waiting = decisions.orderDesk.waiting();
+    const waiting = decisions.orderManager.waiting();
     return decisions.tree
       .endpoints()
       .filter(visibleTo(caller))
@@ -111,7 +111,7 @@
     const now = this.#daemon.clock.now();
     const { core: decisions } = this.#daemon;
     const model = decisions.poolOf(endpoint.serviceId)?.endpoint(endpoint.id);
-    const order = decisions.orderDesk.orderOf(endpoint.id)?.record;
+    const order = decisions.orderManager.orderOf(endpoint.id)?.record;
     return {
       endpoint: endpoint.id,
       service: endpoint.serviceId,
