--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -60,7 +60,7 @@
   readonly requestDesk: requestDesk.RequestDesk;
   readonly #store = new controlStore.ControlStore();
   readonly #follower: controlFollower.ControlFollower;
-  readonly #leaseDesk: leaseDesk.LeaseManager;
+  readonly #leaseManager: leaseDesk.LeaseManager;
   readonly #peerView: peerView.PeerView;
   readonly #freshness = new viewFreshness.ViewFreshness();
   readonly #claimDesk: claimDesk.ClaimManager;
@@ -88,7 +88,7 @@
       poolOf: (service: string) => this.#pools.get(service),
       urlOf: (endpoint: string) => this.tree.endpoint(endpoint)?.settings.url,
       loadOf: (endpoint: string) => this.#loads.get(endpoint),
-      leaseIsValid: (now: number) => this.#leaseDesk.isValid(now),
+      leaseIsValid: (now: number) => this.#leaseManager.isValid(now),
       requestClaim: (request: string, claim: claims.Claim) => {
         this.#claimDesk.request(request, claim);
       },
@@ -99,7 +99,7 @@
     this.orderManager = new orderDesk.OrderManager(context);
     this.#peerView = new peerView.PeerView(this.#pools, this.roster, this.orderManager);
     const servingMembers = (): membership.Registration[] => this.servingMembers(this.#instant.now);
-    this.#leaseDesk = new leaseDesk.LeaseManager(options.registration, {
+    this.#leaseManager = new leaseDesk.LeaseManager(options.registration, {
       ...context,
       servingMembers,
       wantedShards: () => new Set(this.tree.services().map((service) => service.shard)),
@@ -111,7 +111,7 @@
       orders: this.orderManager,
       pools: this.#pools,
       onUnregistered: () => {
-        this.#leaseDesk.onUnregistered();
+        this.#leaseManager.onUnregistered();
       },
     });
     this.#claimDesk = new claimDesk.ClaimManager({
@@ -125,7 +125,7 @@
       store: this.#store,
       follower: this.#follower,
       freshness: this.#freshness,
-      leaseManager: this.#leaseDesk,
+      leaseManager: this.#leaseManager,
       claimManager: this.#claimDesk,
       orderManager: this.orderManager,
       peerView: this.#peerView,
@@ -138,7 +138,7 @@
 
   /** @returns this daemon's registration as it should stand */
   get registration(): membership.Registration {
-    return this.#leaseDesk.registration;
+    return this.#leaseManager.registration;
   }
 
   /** @returns the revision up to which every control record is known */
@@ -148,7 +148,7 @@
 
   /** @returns the id of the lease in the key-value service */
   get leaseId(): string | undefined {
-    return this.#leaseDesk.leaseId;
+    return this.#leaseManager.leaseId;
   }
 
   /** @returns whether claims wait for a write, so that the core wants to be woken soon */
@@ -183,7 +183,7 @@
    * @returns whether the order may still go out
    */
   mayOrder(shard: string, epoch: number, now: number): boolean {
-    return this.#leaseDesk.isValid(now) && this.shards.epochOf(shard, this.registration.incarnation) === epoch;
+    return this.#leaseManager.isValid(now) && this.shards.epochOf(shard, this.registration.incarnation) === epoch;
   }
 
   /**
@@ -309,7 +309,7 @@
   }
 
   #noticePause(now: number): void {
-    const pausedMs = this.#leaseDesk.noticePause(now);
+    const pausedMs = this.#leaseManager.noticePause(now);
     if (pausedMs === 0) return;
     this.#freshness.onPaused();
     this.#note(timeline.EventKind.Paused, { pausedMs: Math.round(pausedMs) });
@@ -319,7 +319,7 @@
     const lost = this.roster.expire(now);
     for (const vm of lost) this.#note(timeline.EventKind.MemberLost, { vm });
     if (lost.length > 0) this.#peerView.sumUp(now);
-    this.#leaseDesk.renew(now);
+    this.#leaseManager.renew(now);
     this.#onSlowTick(now);
     this.requestDesk.onTick(now);
     for (const pool of this.#pools.values()) this.requestDesk.serveQueues(now, pool);
@@ -330,14 +330,14 @@
   #onSlowTick(now: number): void {
     if (now < this.#nextSlowTickAt) return;
     this.#nextSlowTickAt = now + constants.SLOW_TICK_MS;
-    if (this.#store.appliedRevision > 0) this.#leaseDesk.takeShards(now);
+    if (this.#store.appliedRevision > 0) this.#leaseManager.takeShards(now);
     this.#follower.refreshEndpoints(now);
   }
 
   #onStopAsked(): void {
     if (this.registration.leaving) return;
     this.#note(timeline.EventKind.Leaving, {});
-    this.#leaseDesk.leave();
+    this.#leaseManager.leave();
   }
 
   /**
@@ -349,7 +349,7 @@
    */
   markStopped(instant: Instant): actions.Action[] {
     this.#instant = instant;
-    this.#leaseDesk.stop();
+    this.#leaseManager.stop();
     const result = this.#actions;
     this.#actions = [];
     return result;
