--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -63,7 +63,7 @@
   readonly #leaseManager: leaseDesk.LeaseManager;
   readonly #peerView: peerView.PeerView;
   readonly #freshness = new viewFreshness.ViewFreshness();
-  readonly #claimDesk: claimDesk.ClaimManager;
+  readonly #claimManager: claimDesk.ClaimManager;
   readonly #control: controlEvents.ControlEvents;
   readonly #random: common.SeededRandom;
   readonly #pools = new Map<string, servicePool.ServicePool>();
@@ -90,7 +90,7 @@
       loadOf: (endpoint: string) => this.#loads.get(endpoint),
       leaseIsValid: (now: number) => this.#leaseManager.isValid(now),
       requestClaim: (request: string, claim: claims.Claim) => {
-        this.#claimDesk.request(request, claim);
+        this.#claimManager.request(request, claim);
       },
       emit: (action: actions.Action) => this.#actions.push(action),
     };
@@ -114,7 +114,7 @@
         this.#leaseManager.onUnregistered();
       },
     });
-    this.#claimDesk = new claimDesk.ClaimManager({
+    this.#claimManager = new claimDesk.ClaimManager({
       ...context,
       servingMembers,
       onClaimAnswered: (request, verdict, standing) => {
@@ -126,7 +126,7 @@
       follower: this.#follower,
       freshness: this.#freshness,
       leaseManager: this.#leaseManager,
-      claimManager: this.#claimDesk,
+      claimManager: this.#claimManager,
       orderManager: this.orderManager,
       peerView: this.#peerView,
       roster: this.roster,
@@ -153,7 +153,7 @@
 
   /** @returns whether claims wait for a write, so that the core wants to be woken soon */
   get hasPendingClaims(): boolean {
-    return this.#claimDesk.hasWaiting;
+    return this.#claimManager.hasWaiting;
   }
 
   /**
@@ -167,7 +167,7 @@
     this.#instant = instant;
     this.#noticePause(instant.now);
     this.#apply(event, instant.now);
-    this.#claimDesk.run(instant.now, instant.wall);
+    this.#claimManager.run(instant.now, instant.wall);
     const result = this.#actions;
     this.#actions = [];
     return result;
@@ -262,7 +262,7 @@
         this.#onRequest(event.request, now);
         break;
       case events.EventType.ClaimAnswered:
-        this.#claimDesk.onAnswered(event.attempt, event.verdict, event.standing);
+        this.#claimManager.onAnswered(event.attempt, event.verdict, event.standing);
         break;
       case events.EventType.JoinAnswered:
         this.requestDesk.duplicates.onJoinAnswered(event, now);
@@ -286,7 +286,7 @@
         this.requestDesk.onCallerGone(event.request, now);
         break;
       case events.EventType.ClaimsAsked:
-        this.#claimDesk.onAsked(event.claims);
+        this.#claimManager.onAsked(event.claims);
         break;
       case events.EventType.ResumeBegun:
         this.#poolOfEndpoint(event.endpoint)?.endpoint(event.endpoint)?.onDispatched(event.resume, resumedWork(now));
