--- a/packages/core/src/controlEvents.ts
+++ b/packages/core/src/controlEvents.ts
@@ -1,5 +1,5 @@
 import * as actions from "./actions.js";
-import type * as claimDesk from "./claimDesk.js";
+import type * as claimManager from "./claimManager.js";
 import type * as controlFollower from "./controlFollower.js";
 import type * as controlStore from "./controlStore.js";
 import * as events from "./events.js";
@@ -19,7 +19,7 @@
   readonly follower: controlFollower.ControlFollower;
   readonly freshness: viewFreshness.ViewFreshness;
   readonly leaseManager: leaseDesk.LeaseManager;
-  readonly claimManager: claimDesk.ClaimManager;
+  readonly claimManager: claimManager.ClaimManager;
   readonly orderManager: orderDesk.OrderManager;
   readonly peerView: peerView.PeerView;
   readonly roster: membership.Roster;
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -1,7 +1,7 @@
 import * as common from "@camphorcourse/common";
 import * as actions from "./actions.js";
 import * as attempts from "./attempts.js";
-import * as claimDesk from "./claimDesk.js";
+import * as claimManager from "./claimManager.js";
 import type * as claims from "./claims.js";
 import * as configuration from "./configuration.js";
 import * as constants from "./constants.js";
@@ -63,7 +63,7 @@
   readonly #leaseManager: leaseDesk.LeaseManager;
   readonly #peerView: peerView.PeerView;
   readonly #freshness = new viewFreshness.ViewFreshness();
-  readonly #claimManager: claimDesk.ClaimManager;
+  readonly #claimManager: claimManager.ClaimManager;
   readonly #control: controlEvents.ControlEvents;
   readonly #random: common.SeededRandom;
   readonly #pools = new Map<string, servicePool.ServicePool>();
@@ -114,7 +114,7 @@
         this.#leaseManager.onUnregistered();
       },
     });
-    this.#claimManager = new claimDesk.ClaimManager({
+    this.#claimManager = new claimManager.ClaimManager({
       ...context,
       servingMembers,
       onClaimAnswered: (request, verdict, standing) => {
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -6,7 +6,7 @@
 export * from "./admission.js";
 export * from "./attempts.js";
 export * from "./changeChooser.js";
-export * from "./claimDesk.js";
+export * from "./claimManager.js";
 export * from "./claims.js";
 export * from "./configuration.js";
 export * as constants from "./constants.js";
