--- a/packages/core/src/controlEvents.ts
+++ b/packages/core/src/controlEvents.ts
@@ -4,7 +4,7 @@
 import type * as controlStore from "./controlStore.js";
 import * as events from "./events.js";
 import type * as keyValue from "./keyValueTypes.js";
-import type * as leaseDesk from "./leaseDesk.js";
+import type * as leaseManager from "./leaseManager.js";
 import type * as leases from "./leases.js";
 import type * as membership from "./membership.js";
 import type * as orderContext from "./orderContext.js";
@@ -18,7 +18,7 @@
   readonly store: controlStore.ControlStore;
   readonly follower: controlFollower.ControlFollower;
   readonly freshness: viewFreshness.ViewFreshness;
-  readonly leaseManager: leaseDesk.LeaseManager;
+  readonly leaseManager: leaseManager.LeaseManager;
   readonly claimManager: claimManager.ClaimManager;
   readonly orderManager: orderDesk.OrderManager;
   readonly peerView: peerView.PeerView;
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -10,7 +10,7 @@
 import * as controlStore from "./controlStore.js";
 import * as events from "./events.js";
 import type * as keyValue from "./keyValueTypes.js";
-import * as leaseDesk from "./leaseDesk.js";
+import * as leaseManager from "./leaseManager.js";
 import * as leases from "./leases.js";
 import * as membership from "./membership.js";
 import type * as orderContext from "./orderContext.js";
@@ -60,7 +60,7 @@
   readonly requestDesk: requestDesk.RequestDesk;
   readonly #store = new controlStore.ControlStore();
   readonly #follower: controlFollower.ControlFollower;
-  readonly #leaseManager: leaseDesk.LeaseManager;
+  readonly #leaseManager: leaseManager.LeaseManager;
   readonly #peerView: peerView.PeerView;
   readonly #freshness = new viewFreshness.ViewFreshness();
   readonly #claimManager: claimManager.ClaimManager;
@@ -99,7 +99,7 @@
     this.orderManager = new orderDesk.OrderManager(context);
     this.#peerView = new peerView.PeerView(this.#pools, this.roster, this.orderManager);
     const servingMembers = (): membership.Registration[] => this.servingMembers(this.#instant.now);
-    this.#leaseManager = new leaseDesk.LeaseManager(options.registration, {
+    this.#leaseManager = new leaseManager.LeaseManager(options.registration, {
       ...context,
       servingMembers,
       wantedShards: () => new Set(this.tree.services().map((service) => service.shard)),
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -19,7 +19,7 @@
 export * from "./engineCosts.js";
 export * from "./events.js";
 export * from "./keyValueTypes.js";
-export * from "./leaseDesk.js";
+export * from "./leaseManager.js";
 export * from "./leases.js";
 export * from "./liveRequest.js";
 export * from "./membership.js";
