--- a/packages/core/src/controlEvents.ts
+++ b/packages/core/src/controlEvents.ts
@@ -8,7 +8,7 @@
 import type * as leases from "./leases.js";
 import type * as membership from "./membership.js";
 import type * as orderContext from "./orderContext.js";
-import type * as orderDesk from "./orderDesk.js";
+import type * as orderManager from "./orderManager.js";
 import type * as peerView from "./peerView.js";
 import * as timeline from "./timeline.js";
 import type * as viewFreshness from "./viewFreshness.js";
@@ -20,7 +20,7 @@
   readonly freshness: viewFreshness.ViewFreshness;
   readonly leaseManager: leaseManager.LeaseManager;
   readonly claimManager: claimManager.ClaimManager;
-  readonly orderManager: orderDesk.OrderManager;
+  readonly orderManager: orderManager.OrderManager;
   readonly peerView: peerView.PeerView;
   readonly roster: membership.Roster;
   readonly shards: leases.ShardLeases;
--- a/packages/core/src/controlFollower.ts
+++ b/packages/core/src/controlFollower.ts
@@ -6,7 +6,7 @@
 import type * as keyValue from "./keyValueTypes.js";
 import type * as leases from "./leases.js";
 import type * as membership from "./membership.js";
-import type * as orderDesk from "./orderDesk.js";
+import type * as orderManager from "./orderManager.js";
 import type * as orders from "./orders.js";
 import * as servicePool from "./servicePool.js";
 import * as timeline from "./timeline.js";
@@ -20,7 +20,7 @@
   readonly tree: configuration.ConfigurationTree;
   readonly roster: membership.Roster;
   readonly shards: leases.ShardLeases;
-  readonly orders: orderDesk.OrderManager;
+  readonly orders: orderManager.OrderManager;
   readonly pools: Map<string, servicePool.ServicePool>;
   /** This daemon's own registration has gone. */
   onUnregistered(): void;
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -14,7 +14,7 @@
 import * as leases from "./leases.js";
 import * as membership from "./membership.js";
 import type * as orderContext from "./orderContext.js";
-import * as orderDesk from "./orderDesk.js";
+import * as orderManager from "./orderManager.js";
 import * as peerView from "./peerView.js";
 import * as requestDesk from "./requestDesk.js";
 import * as endpointModel from "./endpointModel.js";
@@ -56,7 +56,7 @@
   readonly tree = new configuration.ConfigurationTree();
   readonly roster: membership.Roster;
   readonly shards = new leases.ShardLeases();
-  readonly orderManager: orderDesk.OrderManager;
+  readonly orderManager: orderManager.OrderManager;
   readonly requestDesk: requestDesk.RequestDesk;
   readonly #store = new controlStore.ControlStore();
   readonly #follower: controlFollower.ControlFollower;
@@ -96,7 +96,7 @@
     };
     const limits = { answerBytes: options.answerBytes ?? DEFAULT_ANSWER_BYTES, windowMs: constants.CLAIM_WINDOW_MS };
     this.requestDesk = new requestDesk.RequestDesk(context, new attempts.AttemptBook(limits));
-    this.orderManager = new orderDesk.OrderManager(context);
+    this.orderManager = new orderManager.OrderManager(context);
     this.#peerView = new peerView.PeerView(this.#pools, this.roster, this.orderManager);
     const servingMembers = (): membership.Registration[] => this.servingMembers(this.#instant.now);
     this.#leaseManager = new leaseManager.LeaseManager(options.registration, {
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -24,7 +24,7 @@
 export * from "./liveRequest.js";
 export * from "./membership.js";
 export * from "./orderContext.js";
-export * from "./orderDesk.js";
+export * from "./orderManager.js";
 export * from "./orders.js";
 export * from "./peerView.js";
 export * from "./requestDesk.js";
--- a/packages/core/src/peerView.ts
+++ b/packages/core/src/peerView.ts
@@ -1,7 +1,7 @@
 import type * as admission from "./admission.js";
 import * as engineCosts from "./engineCosts.js";
 import type * as membership from "./membership.js";
-import type * as orderDesk from "./orderDesk.js";
+import type * as orderManager from "./orderManager.js";
 import type * as servicePool from "./servicePool.js";
 
 interface EndpointUse {
@@ -17,7 +17,7 @@
 export class PeerView {
   readonly #pools: ReadonlyMap<string, servicePool.ServicePool>;
   readonly #roster: membership.Roster;
-  readonly #orders: orderDesk.OrderManager;
+  readonly #orders: orderManager.OrderManager;
 
   /**
    * @param pools - the services at this daemon
@@ -27,7 +27,7 @@
   constructor(
     pools: ReadonlyMap<string, servicePool.ServicePool>,
     roster: membership.Roster,
-    orders: orderDesk.OrderManager,
+    orders: orderManager.OrderManager,
   ) {
     this.#pools = pools;
     this.#roster = roster;
