--- a/packages/core/src/orderManager.ts
+++ b/packages/core/src/orderManager.ts
@@ -6,7 +6,7 @@
 import * as drains from "./drains.js";
 import * as events from "./events.js";
 import * as keyValue from "./keyValueTypes.js";
-import * as orderBook from "./orderBook.js";
+import * as orderTable from "./orderTable.js";
 import type * as orderContext from "./orderContext.js";
 import * as orders from "./orders.js";
 import * as orderWriter from "./orderWriter.js";
@@ -21,7 +21,7 @@
  */
 export class OrderManager {
   readonly #context: orderContext.OrderContext;
-  readonly #book: orderBook.OrderTable;
+  readonly #book: orderTable.OrderTable;
   readonly #writer: orderWriter.OrderWriter;
   readonly #succession: succession.Succession;
   readonly #chooser: changeChooser.ChangeChooser;
@@ -29,7 +29,7 @@
   /** @param context - the daemon round the desk */
   constructor(context: orderContext.OrderContext) {
     this.#context = context;
-    this.#book = new orderBook.OrderTable(context);
+    this.#book = new orderTable.OrderTable(context);
     this.#writer = new orderWriter.OrderWriter(context, this.#book);
     this.#succession = new succession.Succession(context);
     this.#chooser = new changeChooser.ChangeChooser({
--- a/packages/core/src/orderWriter.ts
+++ b/packages/core/src/orderWriter.ts
@@ -3,20 +3,20 @@
 import * as configuration from "./configuration.js";
 import * as controlKeys from "./controlKeys.js";
 import * as keyValue from "./keyValueTypes.js";
-import type * as orderBook from "./orderBook.js";
+import type * as orderTable from "./orderTable.js";
 import type * as orderContext from "./orderContext.js";
 import * as orders from "./orders.js";
 
 /** Writes orders' records, each under the condition that the lease still stands. */
 export class OrderWriter {
   readonly #context: orderContext.OrderContext;
-  readonly #book: orderBook.OrderTable;
+  readonly #book: orderTable.OrderTable;
 
   /**
    * @param context - the daemon round the desk
    * @param book - the orders that are known
    */
-  constructor(context: orderContext.OrderContext, book: orderBook.OrderTable) {
+  constructor(context: orderContext.OrderContext, book: orderTable.OrderTable) {
     this.#context = context;
     this.#book = book;
   }
