--- a/packages/core/src/controlEvents.ts
+++ b/packages/core/src/controlEvents.ts
@@ -29,7 +29,7 @@
 }
 
 /** Takes the events that are of no single request: of the key-value service, peers, VMs, endpoints' reports, orders. */
-export class ControlEvents {
+export class ControlEventHandler {
   readonly #parts: ControlParts;
 
   /** @param parts - what the events change */
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -64,7 +64,7 @@
   readonly #peerView: peerView.PeerView;
   readonly #freshness = new viewFreshness.ViewFreshness();
   readonly #claimManager: claimManager.ClaimManager;
-  readonly #control: controlEvents.ControlEvents;
+  readonly #control: controlEvents.ControlEventHandler;
   readonly #random: common.SeededRandom;
   readonly #pools = new Map<string, servicePool.ServicePool>();
   readonly #loads = new Map<string, orderContext.SeenLoad>();
@@ -121,7 +121,7 @@
         this.requestDesk.duplicates.onClaimAnswered(request, verdict, standing, this.#instant.now);
       },
     });
-    this.#control = new controlEvents.ControlEvents({
+    this.#control = new controlEvents.ControlEventHandler({
       store: this.#store,
       follower: this.#follower,
       freshness: this.#freshness,
