--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -5,7 +5,7 @@
 import type * as claims from "./claims.js";
 import * as configuration from "./configuration.js";
 import * as constants from "./constants.js";
-import * as controlEvents from "./controlEvents.js";
+import * as controlEvents from "./controlEventHandler.js";
 import * as controlFollower from "./controlFollower.js";
 import * as controlStore from "./controlStore.js";
 import * as events from "./events.js";
