--- a/packages/core/src/orderManager.ts
+++ b/packages/core/src/orderManager.ts
@@ -23,7 +23,7 @@
   readonly #context: orderContext.OrderContext;
   readonly #book: orderTable.OrderTable;
   readonly #writer: orderWriter.OrderWriter;
-  readonly #succession: succession.Succession;
+  readonly #succession: succession.TakeoverGuard;
   readonly #chooser: changeChooser.ChangeChooser;
 
   /** @param context - the daemon round the desk */
@@ -31,7 +31,7 @@
     this.#context = context;
     this.#book = new orderTable.OrderTable(context);
     this.#writer = new orderWriter.OrderWriter(context, this.#book);
-    this.#succession = new succession.Succession(context);
+    this.#succession = new succession.TakeoverGuard(context);
     this.#chooser = new changeChooser.ChangeChooser({
       tree: context.tree,
       poolOf: (service) => context.poolOf(service),
--- a/packages/core/src/succession.ts
+++ b/packages/core/src/succession.ts
@@ -19,7 +19,7 @@
 const DEPOSE_RETRY_MS = 1000;
 
 /** Gathers the evidence on former holders whose orders are unsettled. */
-export class Succession {
+export class TakeoverGuard {
   readonly #context: SuccessionContext;
   readonly #deposed = new Set<string>();
   readonly #replacedSince = new Map<string, number>();
