--- a/packages/core/src/succession.ts
+++ b/packages/core/src/succession.ts
@@ -3,7 +3,7 @@
 import * as orders from "./orders.js";
 
 /** What succession asks of its surroundings. */
-export interface SuccessionContext {
+export interface TakeoverContext {
   readonly incarnation: string;
   readonly lingerMs: number;
   readonly roster: membership.Roster;
@@ -20,13 +20,13 @@
 
 /** Gathers the evidence on former holders whose orders are unsettled. */
 export class TakeoverGuard {
-  readonly #context: SuccessionContext;
+  readonly #context: TakeoverContext;
   readonly #deposed = new Set<string>();
   readonly #replacedSince = new Map<string, number>();
   readonly #askedAt = new Map<string, number>();
 
   /** @param context - the daemon round it */
-  constructor(context: SuccessionContext) {
+  constructor(context: TakeoverContext) {
     this.#context = context;
   }
 
