--- a/packages/core/src/orders.ts
+++ b/packages/core/src/orders.ts
@@ -41,7 +41,7 @@
 }
 
 /** Whether a successor may order an endpoint. */
-export interface SuccessionVerdict {
+export interface TakeoverDecision {
   readonly allowed: boolean;
   /** Why not, for the operator. */
   readonly reason: string;
@@ -68,7 +68,7 @@
   evidence: WriterEvidence,
   lingerMs: number,
   now: number,
-): SuccessionVerdict {
+): TakeoverDecision {
   if (checksFencing) return { allowed: true, reason: "the endpoint checks fencing numbers" };
   if (evidence.deposed) return { allowed: true, reason: "the former holder has reset its order connections" };
   if (evidence.vmGone) return { allowed: true, reason: "the former holder's VM is gone" };
--- a/packages/core/src/succession.ts
+++ b/packages/core/src/succession.ts
@@ -65,7 +65,7 @@
     record: orders.OrderRecord,
     lease: SuccessorLease,
     now: number,
-  ): orders.SuccessionVerdict {
+  ): orders.TakeoverDecision {
     const writer = writerOf(record);
     const replacedSince = this.#replacedSince.get(writer);
     const sameProcess = record.incarnation === this.#context.incarnation;
