--- a/packages/core/src/orders.ts
+++ b/packages/core/src/orders.ts
@@ -63,7 +63,7 @@
  * @param now - current time
  * @returns the verdict, with the reason to wait
  */
-export function maySucceed(
+export function mayTakeOver(
   checksFencing: boolean,
   evidence: WriterEvidence,
   lingerMs: number,
--- a/packages/core/src/succession.ts
+++ b/packages/core/src/succession.ts
@@ -74,7 +74,7 @@
       vmGone: this.#context.roster.isGone(record.vm),
       ...(replacedSince === undefined ? {} : { replacedSince }),
     };
-    const verdict = orders.maySucceed(checksFencing, evidence, this.#context.lingerMs, now);
+    const verdict = orders.mayTakeOver(checksFencing, evidence, this.#context.lingerMs, now);
     if (!verdict.allowed) this.#askDepose(record, lease, now);
     return verdict;
   }
--- a/packages/core/tests/orders.test.ts
+++ b/packages/core/tests/orders.test.ts
@@ -217,9 +217,9 @@
  */
 ordersSuite("a replaced process's socket buffers are waited for", () => {
   const evidence = { deposed: false, vmGone: false, replacedSince: 1000 };
-  assert.not(core.maySucceed(false, evidence, 60_000, 60_999).allowed);
-  assert.ok(core.maySucceed(false, evidence, 60_000, 61_000).allowed);
-  assert.ok(core.maySucceed(true, evidence, 60_000, 1000).allowed);
+  assert.not(core.mayTakeOver(false, evidence, 60_000, 60_999).allowed);
+  assert.ok(core.mayTakeOver(false, evidence, 60_000, 61_000).allowed);
+  assert.ok(core.mayTakeOver(true, evidence, 60_000, 1000).allowed);
 });
 
 ordersSuite.run();
