--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -36,6 +36,6 @@
 export * from "./servicePool.js";
 export * from "./speedFactor.js";
 export * from "./streamAssembly.js";
-export * from "./succession.js";
+export * from "./takeoverGuard.js";
 export * from "./timeline.js";
 export * from "./viewFreshness.js";
--- a/packages/core/src/orderManager.ts
+++ b/packages/core/src/orderManager.ts
@@ -10,7 +10,7 @@
 import type * as orderContext from "./orderContext.js";
 import * as orders from "./orders.js";
 import * as orderWriter from "./orderWriter.js";
-import * as succession from "./succession.js";
+import * as takeoverGuard from "./takeoverGuard.js";
 import * as timeline from "./timeline.js";
 
 /**
@@ -23,7 +23,7 @@
   readonly #context: orderContext.OrderContext;
   readonly #book: orderTable.OrderTable;
   readonly #writer: orderWriter.OrderWriter;
-  readonly #succession: succession.TakeoverGuard;
+  readonly #takeoverGuard: takeoverGuard.TakeoverGuard;
   readonly #chooser: changeChooser.ChangeChooser;
 
   /** @param context - the daemon round the desk */
@@ -31,7 +31,7 @@
     this.#context = context;
     this.#book = new orderTable.OrderTable(context);
     this.#writer = new orderWriter.OrderWriter(context, this.#book);
-    this.#succession = new succession.TakeoverGuard(context);
+    this.#takeoverGuard = new takeoverGuard.TakeoverGuard(context);
     this.#chooser = new changeChooser.ChangeChooser({
       tree: context.tree,
       poolOf: (service) => context.poolOf(service),
@@ -95,7 +95,7 @@
    * @param now - current time
    */
   onTick(now: number): void {
-    this.#succession.watchReplacements(
+    this.#takeoverGuard.watchReplacements(
       this.#book.all().map(({ record }) => record),
       now,
     );
@@ -173,7 +173,7 @@
    * @param shard - the shard
    */
   onDeposed(vm: string, incarnation: string, reset: boolean, shard: string): void {
-    if (reset) this.#succession.onDeposed(vm, incarnation, shard);
+    if (reset) this.#takeoverGuard.onDeposed(vm, incarnation, shard);
   }
 
   #advanceService(service: configuration.ServiceEntry, shard: string, epoch: number, now: number): void {
@@ -261,7 +261,7 @@
     }
     const own = record.incarnation === this.#context.incarnation && record.epoch === epoch;
     if (!own) {
-      const verdict = this.#succession.decide(endpoint.settings.checksFencing, record, { shard, epoch }, now);
+      const verdict = this.#takeoverGuard.decide(endpoint.settings.checksFencing, record, { shard, epoch }, now);
       this.#book.setWaits(endpoint.id, verdict.allowed ? "" : verdict.reason);
       if (!verdict.allowed) return;
       this.#writer.rewrite(known, { epoch, number: record.number + 1 });
