--- a/packages/core/src/orderManager.ts
+++ b/packages/core/src/orderManager.ts
@@ -84,7 +84,7 @@
     work.writing = false;
     if (record.phase === orders.OrderPhase.Draining) {
       work.drainSeenAt = now;
-      work.witness = new orders.RoleWitness(now + constants.REPORT_LAG_MS);
+      work.witness = new orders.RoleChangeObserver(now + constants.REPORT_LAG_MS);
     }
     if (record.phase === orders.OrderPhase.Settled) this.#onSettled(record, now);
   }
--- a/packages/core/src/orders.ts
+++ b/packages/core/src/orders.ts
@@ -90,7 +90,7 @@
  * bytes are still under way. So the change itself must be seen: first the
  * former role, reported well after the drain began, then the target.
  */
-export class RoleWitness {
+export class RoleChangeObserver {
   readonly #notBefore: number;
   #sawFormerRole = false;
   #sawChange = false;
--- a/packages/core/tests/orders.test.ts
+++ b/packages/core/tests/orders.test.ts
@@ -200,11 +200,11 @@
  */
 ordersSuite("a role that the engine had before proves nothing", () => {
   const record = { fromRole: core.EndpointRole.Mixed, targetRole: core.EndpointRole.Prefill } as core.OrderRecord;
-  const deceived = new core.RoleWitness(1000);
+  const deceived = new core.RoleChangeObserver(1000);
   deceived.onReport(record, core.EndpointRole.Mixed, 900);
   deceived.onReport(record, core.EndpointRole.Prefill, 1100);
   assert.not(deceived.sawChange);
-  const sound = new core.RoleWitness(1000);
+  const sound = new core.RoleChangeObserver(1000);
   sound.onReport(record, core.EndpointRole.Mixed, 1100);
   sound.onReport(record, core.EndpointRole.Prefill, 1200);
   assert.ok(sound.sawChange);
