--- a/packages/core/src/orderManager.ts
+++ b/packages/core/src/orderManager.ts
@@ -255,7 +255,7 @@
     const { record } = known;
     const work = this.#book.workOf(endpoint.id);
     if (work.sending !== undefined) return;
-    if (work.witness?.sawChange) {
+    if (work.witness?.hasSeenChange) {
       this.#writer.rewrite(known, { phase: orders.OrderPhase.Settled, epoch });
       return;
     }
--- a/packages/core/src/orders.ts
+++ b/packages/core/src/orders.ts
@@ -101,7 +101,7 @@
   }
 
   /** @returns whether the order is known to have taken effect */
-  get sawChange(): boolean {
+  get hasSeenChange(): boolean {
     return this.#sawChange;
   }
 
--- a/packages/core/tests/orders.test.ts
+++ b/packages/core/tests/orders.test.ts
@@ -203,11 +203,11 @@
   const deceived = new core.RoleChangeObserver(1000);
   deceived.onReport(record, core.EndpointRole.Mixed, 900);
   deceived.onReport(record, core.EndpointRole.Prefill, 1100);
-  assert.not(deceived.sawChange);
+  assert.not(deceived.hasSeenChange);
   const sound = new core.RoleChangeObserver(1000);
   sound.onReport(record, core.EndpointRole.Mixed, 1100);
   sound.onReport(record, core.EndpointRole.Prefill, 1200);
-  assert.ok(sound.sawChange);
+  assert.ok(sound.hasSeenChange);
 });
 
 /*
