--- a/packages/core/src/orderManager.ts
+++ b/packages/core/src/orderManager.ts
@@ -84,7 +84,7 @@
     work.writing = false;
     if (record.phase === orders.OrderPhase.Draining) {
       work.drainSeenAt = now;
-      work.witness = new orders.RoleChangeObserver(now + constants.REPORT_LAG_MS);
+      work.roleObserver = new orders.RoleChangeObserver(now + constants.REPORT_LAG_MS);
     }
     if (record.phase === orders.OrderPhase.Settled) this.#onSettled(record, now);
   }
@@ -255,7 +255,7 @@
     const { record } = known;
     const work = this.#book.workOf(endpoint.id);
     if (work.sending !== undefined) return;
-    if (work.witness?.hasSeenChange) {
+    if (work.roleObserver?.hasSeenChange) {
       this.#writer.rewrite(known, { phase: orders.OrderPhase.Settled, epoch });
       return;
     }
@@ -293,7 +293,7 @@
   #watchRoles(): void {
     for (const { record } of this.#book.all()) {
       const load = this.#context.loadOf(record.endpoint);
-      if (load) this.#book.workOf(record.endpoint).witness?.onReport(record, load.report.role, load.at);
+      if (load) this.#book.workOf(record.endpoint).roleObserver?.onReport(record, load.report.role, load.at);
     }
   }
 
--- a/packages/core/src/orderTable.ts
+++ b/packages/core/src/orderTable.ts
@@ -14,7 +14,7 @@
   retryAt: number;
   drainSeenAt: number;
   settledAt: number;
-  witness?: orders.RoleChangeObserver;
+  roleObserver?: orders.RoleChangeObserver;
   waitsFor: string;
 }
 
