--- a/packages/core/src/orderTable.ts
+++ b/packages/core/src/orderTable.ts
@@ -6,7 +6,7 @@
 import * as timeline from "./timeline.js";
 
 /** How far a planned change of one endpoint has come in this process. */
-export interface EndpointWork {
+export interface EndpointChangeProgress {
   /** Set while a phase is being written, until the write's outcome is known. */
   writing: boolean;
   /** Set while an order is out: its number. */
@@ -22,7 +22,7 @@
 export class OrderTable {
   readonly #context: orderContext.OrderContext;
   readonly #orders = new Map<string, orderContext.KnownOrder>();
-  readonly #work = new Map<string, EndpointWork>();
+  readonly #work = new Map<string, EndpointChangeProgress>();
 
   /** @param context - the daemon round the desk */
   constructor(context: orderContext.OrderContext) {
@@ -98,10 +98,10 @@
    * @param endpoint - `team/endpoint`
    * @returns what is known here of its change
    */
-  workOf(endpoint: string): EndpointWork {
+  workOf(endpoint: string): EndpointChangeProgress {
     const present = this.#work.get(endpoint);
     if (present) return present;
-    const fresh: EndpointWork = {
+    const fresh: EndpointChangeProgress = {
       writing: false,
       retryAt: 0,
       drainSeenAt: 0,
