--- a/packages/core/src/orderManager.ts
+++ b/packages/core/src/orderManager.ts
@@ -80,7 +80,7 @@
     const known = this.#book.orderOf(record.endpoint);
     if (known && known.revision >= revision) return;
     this.#book.keep({ record, revision });
-    const work = this.#book.workOf(record.endpoint);
+    const work = this.#book.progressOf(record.endpoint);
     work.writing = false;
     if (record.phase === orders.OrderPhase.Draining) {
       work.drainSeenAt = now;
@@ -115,7 +115,7 @@
    * @param now - current time
    */
   onWritten(endpoint: string, result: keyValue.TransactionResult, now: number): void {
-    const work = this.#book.workOf(endpoint);
+    const work = this.#book.progressOf(endpoint);
     if (!work.writing) return;
     if (
       result.outcome === keyValue.TransactionOutcome.Unknown ||
@@ -140,7 +140,7 @@
    * @param now - current time
    */
   onReadBack(endpoint: string, read: boolean, now: number): void {
-    const work = this.#book.workOf(endpoint);
+    const work = this.#book.progressOf(endpoint);
     work.writing = false;
     if (!read) work.retryAt = now + constants.ORDER_RETRY_MS;
   }
@@ -152,7 +152,7 @@
    * @param now - current time
    */
   onAnswered(endpoint: string, number: number, outcome: events.OrderOutcome, now: number): void {
-    const work = this.#book.workOf(endpoint);
+    const work = this.#book.progressOf(endpoint);
     const known = this.#book.orderOf(endpoint);
     if (work.sending !== number || !known || known.record.number !== number) return;
     delete work.sending;
@@ -197,7 +197,7 @@
     now: number,
   ): boolean {
     const { record } = known;
-    const work = this.#book.workOf(endpoint.id);
+    const work = this.#book.progressOf(endpoint.id);
     if (record.phase === orders.OrderPhase.Settled) return false;
     if (work.writing || now < work.retryAt) return true;
     if (record.phase === orders.OrderPhase.Drained) return this.#reopenIfWanted(endpoint, known, epoch);
@@ -219,7 +219,7 @@
     now: number,
   ): void {
     const { record } = known;
-    const work = this.#book.workOf(endpoint.id);
+    const work = this.#book.progressOf(endpoint.id);
     const forOperator = record.targetRole === record.fromRole;
     if (forOperator && endpoint.settings.state === configuration.EndpointState.Active) {
       this.#writer.rewrite(known, { phase: orders.OrderPhase.Settled, epoch, reason: "reopened by the operator" });
@@ -253,7 +253,7 @@
     now: number,
   ): void {
     const { record } = known;
-    const work = this.#book.workOf(endpoint.id);
+    const work = this.#book.progressOf(endpoint.id);
     if (work.sending !== undefined) return;
     if (work.roleObserver?.hasSeenChange) {
       this.#writer.rewrite(known, { phase: orders.OrderPhase.Settled, epoch });
@@ -281,7 +281,7 @@
   }
 
   #onSettled(record: orders.OrderRecord, now: number): void {
-    this.#book.workOf(record.endpoint).settledAt = now;
+    this.#book.progressOf(record.endpoint).settledAt = now;
     const endpoint = this.#context.tree.endpoint(record.endpoint);
     const pool = endpoint && this.#context.poolOf(endpoint.serviceId);
     pool?.planner.onChanged(now);
@@ -293,7 +293,7 @@
   #watchRoles(): void {
     for (const { record } of this.#book.all()) {
       const load = this.#context.loadOf(record.endpoint);
-      if (load) this.#book.workOf(record.endpoint).roleObserver?.onReport(record, load.report.role, load.at);
+      if (load) this.#book.progressOf(record.endpoint).roleObserver?.onReport(record, load.report.role, load.at);
     }
   }
 
--- a/packages/core/src/orderTable.ts
+++ b/packages/core/src/orderTable.ts
@@ -84,7 +84,7 @@
    * @param waitsFor - what its change waits for, empty if for nothing; a new reason is noted
    */
   setWaits(endpoint: string, waitsFor: string): void {
-    const work = this.workOf(endpoint);
+    const work = this.progressOf(endpoint);
     if (work.waitsFor === waitsFor) return;
     work.waitsFor = waitsFor;
     if (waitsFor === "") return;
@@ -98,7 +98,7 @@
    * @param endpoint - `team/endpoint`
    * @returns what is known here of its change
    */
-  workOf(endpoint: string): EndpointChangeProgress {
+  progressOf(endpoint: string): EndpointChangeProgress {
     const present = this.#work.get(endpoint);
     if (present) return present;
     const fresh: EndpointChangeProgress = {
@@ -116,6 +116,6 @@
   #reportedRole(endpoint: string, now: number): configuration.EndpointRole | undefined {
     const load = this.#context.loadOf(endpoint);
     if (!load || now - load.at > constants.VIEW_FRESHNESS_MS) return undefined;
-    return load.at > this.workOf(endpoint).settledAt + constants.REPORT_LAG_MS ? load.report.role : undefined;
+    return load.at > this.progressOf(endpoint).settledAt + constants.REPORT_LAG_MS ? load.report.role : undefined;
   }
 }
--- a/packages/core/src/orderWriter.ts
+++ b/packages/core/src/orderWriter.ts
@@ -28,7 +28,7 @@
    */
   begin(change: changeChooser.WantedChange, epoch: number, now: number): void {
     const { endpoint, fromRole, targetRole, reason } = change;
-    const work = this.#book.workOf(endpoint.id);
+    const work = this.#book.progressOf(endpoint.id);
     if (work.writing || now < work.retryAt) return;
     const known = this.#book.orderOf(endpoint.id);
     const number = (known?.record.number ?? 0) + 1;
@@ -69,7 +69,7 @@
     const key = controlKeys.controlKey(controlKeys.ControlKind.Order, record.endpoint);
     const service = this.#context.tree.endpoint(record.endpoint)?.serviceId ?? "";
     const leaseKey = controlKeys.controlKey(controlKeys.ControlKind.Lease, configuration.controlShardOf(service));
-    this.#book.workOf(record.endpoint).writing = true;
+    this.#book.progressOf(record.endpoint).writing = true;
     this.#context.emit({
       type: actions.ActionType.Transact,
       token: `order:${record.endpoint}`,
