--- a/packages/core/src/orderTable.ts
+++ b/packages/core/src/orderTable.ts
@@ -15,7 +15,7 @@
   drainSeenAt: number;
   settledAt: number;
   roleObserver?: orders.RoleChangeObserver;
-  waitsFor: string;
+  waitReason: string;
 }
 
 /** The endpoints' latest orders, and what is known here of their changes. */
@@ -49,8 +49,8 @@
 
   /** @returns endpoints whose change waits, with the reasons */
   waiting(): Map<string, string> {
-    const waits = [...this.#work].filter(([, work]) => work.waitsFor !== "");
-    return new Map(waits.map(([endpoint, work]) => [endpoint, work.waitsFor]));
+    const waits = [...this.#work].filter(([, work]) => work.waitReason !== "");
+    return new Map(waits.map(([endpoint, work]) => [endpoint, work.waitReason]));
   }
 
   /**
@@ -85,8 +85,8 @@
    */
   setWaits(endpoint: string, waitsFor: string): void {
     const work = this.progressOf(endpoint);
-    if (work.waitsFor === waitsFor) return;
-    work.waitsFor = waitsFor;
+    if (work.waitReason === waitsFor) return;
+    work.waitReason = waitsFor;
     if (waitsFor === "") return;
     this.#context.emit({
       type: actions.ActionType.Note,
@@ -106,7 +106,7 @@
       retryAt: 0,
       drainSeenAt: 0,
       settledAt: Number.NEGATIVE_INFINITY,
-      waitsFor: "",
+      waitReason: "",
     };
     this.#work.set(endpoint, fresh);
     return fresh;
