--- a/packages/core/src/orderManager.ts
+++ b/packages/core/src/orderManager.ts
@@ -239,7 +239,7 @@
       },
       this.#context.roster,
     );
-    this.#book.setWaits(endpoint.id, blockers.join("; "));
+    this.#book.setWaitReason(endpoint.id, blockers.join("; "));
     if (blockers.length > 0) return;
     const phase = forOperator ? orders.OrderPhase.Drained : orders.OrderPhase.Intended;
     this.#writer.rewrite(known, { phase, epoch });
@@ -262,7 +262,7 @@
     const own = record.incarnation === this.#context.incarnation && record.epoch === epoch;
     if (!own) {
       const verdict = this.#takeoverGuard.decide(endpoint.settings.checksFencing, record, { shard, epoch }, now);
-      this.#book.setWaits(endpoint.id, verdict.allowed ? "" : verdict.reason);
+      this.#book.setWaitReason(endpoint.id, verdict.allowed ? "" : verdict.reason);
       if (!verdict.allowed) return;
       this.#writer.rewrite(known, { epoch, number: record.number + 1 });
       return;
@@ -286,7 +286,7 @@
     const pool = endpoint && this.#context.poolOf(endpoint.serviceId);
     pool?.planner.onChanged(now);
     if (record.fromRole !== record.targetRole) pool?.endpoint(record.endpoint)?.forgetPrefixes();
-    this.#book.setWaits(record.endpoint, "");
+    this.#book.setWaitReason(record.endpoint, "");
   }
 
   /** Every daemon watches, since any may have to succeed the holder. */
--- a/packages/core/src/orderTable.ts
+++ b/packages/core/src/orderTable.ts
@@ -83,7 +83,7 @@
    * @param endpoint - `team/endpoint`
    * @param waitsFor - what its change waits for, empty if for nothing; a new reason is noted
    */
-  setWaits(endpoint: string, waitsFor: string): void {
+  setWaitReason(endpoint: string, waitsFor: string): void {
     const work = this.progressOf(endpoint);
     if (work.waitReason === waitsFor) return;
     work.waitReason = waitsFor;
