--- a/packages/core/src/orderManager.ts
+++ b/packages/core/src/orderManager.ts
@@ -79,7 +79,7 @@
   onRecord(record: orders.OrderRecord, revision: number, now: number): void {
     const known = this.#book.orderOf(record.endpoint);
     if (known && known.revision >= revision) return;
-    this.#book.keep({ record, revision });
+    this.#book.update({ record, revision });
     const work = this.#book.progressOf(record.endpoint);
     work.writing = false;
     if (record.phase === orders.OrderPhase.Draining) {
--- a/packages/core/src/orderTable.ts
+++ b/packages/core/src/orderTable.ts
@@ -43,7 +43,7 @@
   }
 
   /** @param order - an endpoint's order, newer than the one known */
-  keep(order: orderContext.KnownOrder): void {
+  update(order: orderContext.KnownOrder): void {
     this.#orders.set(order.record.endpoint, order);
   }
 
