--- a/packages/core/src/controlEventHandler.ts
+++ b/packages/core/src/controlEventHandler.ts
@@ -24,7 +24,7 @@
   readonly peerView: peerView.PeerView;
   readonly roster: membership.Roster;
   readonly shards: leases.ShardLeases;
-  readonly loads: Map<string, orderContext.SeenLoad>;
+  readonly loads: Map<string, orderContext.ReceivedLoadReport>;
   emit(action: actions.Action): void;
 }
 
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -67,7 +67,7 @@
   readonly #control: controlEvents.ControlEventHandler;
   readonly #random: common.SeededRandom;
   readonly #pools = new Map<string, servicePool.ServicePool>();
-  readonly #loads = new Map<string, orderContext.SeenLoad>();
+  readonly #loads = new Map<string, orderContext.ReceivedLoadReport>();
   #nextSlowTickAt = 0;
   #actions: actions.Action[] = [];
   #instant: Instant = { now: 0, wall: 0 };
@@ -198,7 +198,7 @@
    * @param endpoint - `team/endpoint`
    * @returns its last load report
    */
-  loadOf(endpoint: string): orderContext.SeenLoad | undefined {
+  loadOf(endpoint: string): orderContext.ReceivedLoadReport | undefined {
     return this.#loads.get(endpoint);
   }
 
--- a/packages/core/src/orderContext.ts
+++ b/packages/core/src/orderContext.ts
@@ -14,7 +14,7 @@
 }
 
 /** What an endpoint last reported, and when. */
-export interface SeenLoad {
+export interface ReceivedLoadReport {
   readonly report: events.LoadReport;
   readonly at: number;
 }
@@ -29,7 +29,7 @@
   readonly shards: leases.ShardLeases;
   readonly tree: configuration.ConfigurationTree;
   poolOf(service: string): servicePool.ServicePool | undefined;
-  loadOf(endpoint: string): SeenLoad | undefined;
+  loadOf(endpoint: string): ReceivedLoadReport | undefined;
   leaseIsValid(now: number): boolean;
   emit(action: actions.Action): void;
 }
