--- a/packages/core/src/controlEventHandler.ts
+++ b/packages/core/src/controlEventHandler.ts
@@ -79,7 +79,7 @@
         this.#parts.roster.onVmList(event.vms);
         break;
       case events.EventType.LoadReported:
-        this.#parts.loads.set(event.report.endpoint, { report: event.report, at: now });
+        this.#parts.loads.set(event.report.endpoint, { report: event.report, receivedAt: now });
         break;
       case events.EventType.OrderAnswered:
         this.#parts.orderManager.onAnswered(event.endpoint, event.number, event.outcome, now);
--- a/packages/core/src/orderContext.ts
+++ b/packages/core/src/orderContext.ts
@@ -16,7 +16,7 @@
 /** What an endpoint last reported, and when. */
 export interface ReceivedLoadReport {
   readonly report: events.LoadReport;
-  readonly at: number;
+  readonly receivedAt: number;
 }
 
 /** What the desk asks of its surroundings. */
--- a/packages/core/src/orderManager.ts
+++ b/packages/core/src/orderManager.ts
@@ -227,7 +227,7 @@
     }
     const load = this.#context.loadOf(endpoint.id);
     const reportedSince = work.drainSeenAt + constants.REPORT_LAG_MS;
-    const reported = load && load.at > reportedSince ? load.report.running + load.report.waiting : undefined;
+    const reported = load && load.receivedAt > reportedSince ? load.report.running + load.report.waiting : undefined;
     const plain = this.#context.tree.service(endpoint.serviceId)?.settings.kind === configuration.ServiceKind.Plain;
     const blockers = drains.drainBlockers(
       {
@@ -293,7 +293,8 @@
   #watchRoles(): void {
     for (const { record } of this.#book.all()) {
       const load = this.#context.loadOf(record.endpoint);
-      if (load) this.#book.progressOf(record.endpoint).roleObserver?.onReport(record, load.report.role, load.at);
+      if (load)
+        this.#book.progressOf(record.endpoint).roleObserver?.onReport(record, load.report.role, load.receivedAt);
     }
   }
 
