--- a/packages/core/src/controlEventHandler.ts
+++ b/packages/core/src/controlEventHandler.ts
@@ -44,7 +44,7 @@
   apply(event: events.CoreEvent, now: number): void {
     switch (event.type) {
       case events.EventType.ControlSnapshot:
-        this.#parts.freshness.onKeyValueHeard(now);
+        this.#parts.freshness.onKeyValueResponded(now);
         this.#parts.follower.apply(this.#parts.store.difference(event.records, event.revision), now);
         this.#parts.store.completeUpTo(event.revision);
         break;
@@ -96,7 +96,7 @@
   }
 
   #onKeyValueHeard(revision: number, now: number): void {
-    if (this.#parts.freshness.onKeyValueHeard(now)) this.#note(timeline.EventKind.KeyValueBack);
+    if (this.#parts.freshness.onKeyValueResponded(now)) this.#note(timeline.EventKind.KeyValueBack);
     if (this.#parts.store.appliedRevision > 0) this.#parts.store.completeUpTo(revision);
   }
 
--- a/packages/core/src/viewFreshness.ts
+++ b/packages/core/src/viewFreshness.ts
@@ -19,7 +19,7 @@
    * @param now - current time
    * @returns whether the service had been lost before
    */
-  onKeyValueHeard(now: number): boolean {
+  onKeyValueResponded(now: number): boolean {
     this.#keyValueHeardAt = now;
     this.#contactSincePause = true;
     const wasLost = this.#keyValueLost;
