--- a/packages/core/src/controlEventHandler.ts
+++ b/packages/core/src/controlEventHandler.ts
@@ -122,7 +122,7 @@
     const peer = this.#parts.roster.get(report.vm);
     this.#parts.peerView.learnDemand(peer?.report, report, now);
     this.#parts.roster.onHeard(report, now);
-    this.#parts.freshness.onPeerHeard();
+    this.#parts.freshness.onPeerReported();
     this.#parts.peerView.sumUp(now);
     const behind = report.appliedRevision < this.#parts.store.appliedRevision;
     if (!peer || report.keyValueReachable || !behind) return;
--- a/packages/core/src/viewFreshness.ts
+++ b/packages/core/src/viewFreshness.ts
@@ -42,7 +42,7 @@
   }
 
   /** A peer's heartbeat came. */
-  onPeerHeard(): void {
+  onPeerReported(): void {
     this.#contactSincePause = true;
   }
 
