--- a/packages/core/src/membership.ts
+++ b/packages/core/src/membership.ts
@@ -58,7 +58,7 @@
 export interface Member {
   registration: Registration;
   registered: boolean;
-  heardAt: number;
+  lastSeenAt: number;
   report?: PeerReport;
 }
 
@@ -94,7 +94,7 @@
       present.registered = true;
       return false;
     }
-    this.#members.set(registration.vm, { registration, registered: true, heardAt: now });
+    this.#members.set(registration.vm, { registration, registered: true, lastSeenAt: now });
     return true;
   }
 
@@ -116,7 +116,7 @@
   onHeard(report: PeerReport, now: number): void {
     const member = this.#members.get(report.vm);
     if (!member || member.registration.incarnation !== report.incarnation) return;
-    member.heardAt = now;
+    member.lastSeenAt = now;
     member.report = report;
   }
 
@@ -210,6 +210,6 @@
   }
 
   #isHeard(member: Member, now: number): boolean {
-    return now - member.heardAt < constants.PEER_SILENCE_MS;
+    return now - member.lastSeenAt < constants.PEER_SILENCE_MS;
   }
 }
--- a/packages/daemon/src/adminServer.ts
+++ b/packages/daemon/src/adminServer.ts
@@ -68,7 +68,7 @@
       dataCentre: peer.registration.dataCentre,
       state: peer.registration.leaving ? "leaving" : roster.isServing(peer.registration.vm, now) ? "serving" : "silent",
       registered: peer.registered,
-      heardMsAgo: Math.round(now - peer.heardAt),
+      heardMsAgo: Math.round(now - peer.lastSeenAt),
     }));
     const state = registration.leaving ? "leaving" : "serving";
     return [
--- a/packages/daemon/src/peerCalls.ts
+++ b/packages/daemon/src/peerCalls.ts
@@ -53,7 +53,7 @@
     const now = this.#clock.now();
     const { vm } = this.#core.registration;
     for (const peer of this.#core.roster.peers()) {
-      const begins = vm < peer.registration.vm || now - peer.heardAt > EXCHANGE_TAKEOVER_MS;
+      const begins = vm < peer.registration.vm || now - peer.lastSeenAt > EXCHANGE_TAKEOVER_MS;
       if (begins) void this.#exchangeWith(peer.registration.peerUrl);
     }
   }
