--- a/packages/core/src/membership.ts
+++ b/packages/core/src/membership.ts
@@ -113,7 +113,7 @@
    * @param report - a heartbeat
    * @param now - current time
    */
-  onHeard(report: PeerReport, now: number): void {
+  onHeartbeat(report: PeerReport, now: number): void {
     const member = this.#members.get(report.vm);
     if (!member || member.registration.incarnation !== report.incarnation) return;
     member.lastSeenAt = now;
