--- a/packages/core/src/drains.ts
+++ b/packages/core/src/drains.ts
@@ -31,7 +31,7 @@
     const blocker = peerBlocker(view, peer, roster);
     if (blocker) blockers.push(blocker);
   }
-  for (const vm of roster.suspects()) blockers.push(`daemon on ${vm} vanished and its VM is still listed`);
+  for (const vm of roster.lostVms()) blockers.push(`daemon on ${vm} vanished and its VM is still listed`);
   if (!view.needsEndpointReport) return blockers;
   if (view.endpointReports === undefined) blockers.push("no load report from the endpoint since the drain began");
   else if (view.endpointReports > 0) blockers.push(`the endpoint reports ${view.endpointReports} requests`);
--- a/packages/core/src/membership.ts
+++ b/packages/core/src/membership.ts
@@ -178,7 +178,7 @@
    *
    * @returns their VMs
    */
-  suspects(): string[] {
+  lostVms(): string[] {
     return [...this.#suspects].filter((vm) => !this.isGone(vm));
   }
 
