--- a/packages/core/src/membership.ts
+++ b/packages/core/src/membership.ts
@@ -200,7 +200,7 @@
    * @returns whether a daemon ended without a planned stop so lately that its
    * requests may still run at the endpoints
    */
-  hasVanishedLately(now: number): boolean {
+  hasRecentLoss(now: number): boolean {
     return now - this.#lastVanishedAt < constants.VANISHED_MEMORY_MS;
   }
 
--- a/packages/core/src/orderManager.ts
+++ b/packages/core/src/orderManager.ts
@@ -235,7 +235,7 @@
         recordRevision: known.revision,
         ownInFlight: this.#context.poolOf(endpoint.serviceId)?.endpoint(endpoint.id)?.inFlight ?? 0,
         endpointReports: reported,
-        needsEndpointReport: !plain && this.#context.roster.hasVanishedLately(now),
+        needsEndpointReport: !plain && this.#context.roster.hasRecentLoss(now),
       },
       this.#context.roster,
     );
