--- a/packages/core/src/constants.ts
+++ b/packages/core/src/constants.ts
@@ -23,7 +23,7 @@
 /** A peer not heard for this long is taken as silent. */
 export const PEER_SILENCE_MS = 3500;
 /** Requests of a daemon that vanished end at the endpoints within this time. */
-export const VANISHED_MEMORY_MS = 900_000;
+export const ORPHANED_REQUEST_MS = 900_000;
 /** An endpoint's load report may be this old when it arrives. */
 export const REPORT_LAG_MS = 3000;
 /** A view that nobody confirmed for this long is stale. */
--- a/packages/core/src/membership.ts
+++ b/packages/core/src/membership.ts
@@ -201,7 +201,7 @@
    * requests may still run at the endpoints
    */
   hasRecentLoss(now: number): boolean {
-    return now - this.#lastVanishedAt < constants.VANISHED_MEMORY_MS;
+    return now - this.#lastVanishedAt < constants.ORPHANED_REQUEST_MS;
   }
 
   #onVanished(member: Member, now: number): void {
