--- a/packages/core/src/constants.ts
+++ b/packages/core/src/constants.ts
@@ -21,7 +21,7 @@
 /** How often peers exchange heartbeats. */
 export const EXCHANGE_MS = 1000;
 /** A peer not heard for this long is taken as silent. */
-export const PEER_SILENCE_MS = 3500;
+export const PEER_TIMEOUT_MS = 3500;
 /** Requests of a daemon that vanished end at the endpoints within this time. */
 export const ORPHANED_REQUEST_MS = 900_000;
 /** An endpoint's load report may be this old when it arrives. */
--- a/packages/core/src/membership.ts
+++ b/packages/core/src/membership.ts
@@ -210,6 +210,6 @@
   }
 
   #isHeard(member: Member, now: number): boolean {
-    return now - member.lastSeenAt < constants.PEER_SILENCE_MS;
+    return now - member.lastSeenAt < constants.PEER_TIMEOUT_MS;
   }
 }
