--- a/packages/core/src/constants.ts
+++ b/packages/core/src/constants.ts
@@ -19,7 +19,7 @@
 /** How often a tick walks over all services and endpoints. */
 export const SLOW_TICK_MS = 500;
 /** How often peers exchange heartbeats. */
-export const EXCHANGE_MS = 1000;
+export const HEARTBEAT_INTERVAL_MS = 1000;
 /** A peer not heard for this long is taken as silent. */
 export const PEER_TIMEOUT_MS = 3500;
 /** Requests of a daemon that vanished end at the endpoints within this time. */
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -104,7 +104,7 @@
     this.#every(TICK_MS, () => {
       this.handle({ type: core.EventType.Tick });
     });
-    this.#every(core.constants.EXCHANGE_MS, () => {
+    this.#every(core.constants.HEARTBEAT_INTERVAL_MS, () => {
       this.peerCalls.exchange();
     });
     this.#every(LOAD_POLL_MS, () => {
@@ -216,7 +216,7 @@
    */
   async drain(): Promise<void> {
     this.handle({ type: core.EventType.StopAsked });
-    const leastUntil = this.clock.now() + core.constants.ADDRESS_TTL_MS + core.constants.EXCHANGE_MS;
+    const leastUntil = this.clock.now() + core.constants.ADDRESS_TTL_MS + core.constants.HEARTBEAT_INTERVAL_MS;
     while (this.clock.now() < leastUntil || this.openExchanges > 0 || this.core.requestDesk.size > 0) {
       await new Promise((resolve) => setTimeout(resolve, STOP_POLL_MS));
     }
