--- a/packages/core/src/constants.ts
+++ b/packages/core/src/constants.ts
@@ -14,7 +14,7 @@
 /** How often the lease is renewed. */
 export const LEASE_RENEWAL_MS = 3000;
 /** A gap between ticks above this means that the process was paused. */
-export const PAUSE_MS = 2000;
+export const PAUSE_THRESHOLD_MS = 2000;
 
 /** How often a tick walks over all services and endpoints. */
 export const SLOW_TICK_MS = 500;
--- a/packages/core/src/leases.ts
+++ b/packages/core/src/leases.ts
@@ -60,7 +60,7 @@
   onTick(now: number): number {
     const gap = this.#lastTick === undefined ? 0 : now - this.#lastTick;
     this.#lastTick = now;
-    if (gap < constants.PAUSE_MS) return 0;
+    if (gap < constants.PAUSE_THRESHOLD_MS) return 0;
     this.#deadline = Number.NEGATIVE_INFINITY;
     return gap;
   }
--- a/packages/core/tests/orders.test.ts
+++ b/packages/core/tests/orders.test.ts
@@ -138,8 +138,8 @@
   lease.onRenewed("1", 0, core.constants.LEASE_TTL_MS);
   lease.onTick(1000);
   assert.ok(lease.isValid(1000));
-  lease.onTick(1000 + core.constants.PAUSE_MS + 1);
-  assert.not(lease.isValid(1000 + core.constants.PAUSE_MS + 1));
+  lease.onTick(1000 + core.constants.PAUSE_THRESHOLD_MS + 1);
+  assert.not(lease.isValid(1000 + core.constants.PAUSE_THRESHOLD_MS + 1));
 });
 
 /*
