--- a/packages/core/src/constants.ts
+++ b/packages/core/src/constants.ts
@@ -27,7 +27,7 @@
 /** An endpoint's load report may be this old when it arrives. */
 export const REPORT_LAG_MS = 3000;
 /** A view that nobody confirmed for this long is stale. */
-export const VIEW_FRESHNESS_MS = 4000;
+export const VIEW_MAX_AGE_MS = 4000;
 /** How long callers may keep an answer to `/v1/addresses`. */
 export const ADDRESS_TTL_MS = 5000;
 
--- a/packages/core/src/orderTable.ts
+++ b/packages/core/src/orderTable.ts
@@ -115,7 +115,7 @@
   /** A report that arrives soon after an order may still tell the role before it. */
   #reportedRole(endpoint: string, now: number): configuration.EndpointRole | undefined {
     const load = this.#context.loadOf(endpoint);
-    if (!load || now - load.receivedAt > constants.VIEW_FRESHNESS_MS) return undefined;
+    if (!load || now - load.receivedAt > constants.VIEW_MAX_AGE_MS) return undefined;
     return load.receivedAt > this.progressOf(endpoint).settledAt + constants.REPORT_LAG_MS
       ? load.report.role
       : undefined;
--- a/packages/core/src/viewFreshness.ts
+++ b/packages/core/src/viewFreshness.ts
@@ -57,7 +57,7 @@
    * @returns whether the service was heard within the freshness limit
    */
   isKeyValueFresh(now: number): boolean {
-    return now - this.#keyValueHeardAt < constants.VIEW_FRESHNESS_MS;
+    return now - this.#keyValueHeardAt < constants.VIEW_MAX_AGE_MS;
   }
 
   /**
