--- a/packages/core/src/constants.ts
+++ b/packages/core/src/constants.ts
@@ -17,7 +17,7 @@
 export const PAUSE_THRESHOLD_MS = 2000;
 
 /** How often a tick walks over all services and endpoints. */
-export const SLOW_TICK_MS = 500;
+export const SLOW_TICK_INTERVAL_MS = 500;
 /** How often peers exchange heartbeats. */
 export const HEARTBEAT_INTERVAL_MS = 1000;
 /** A peer not heard for this long is taken as silent. */
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -329,7 +329,7 @@
   /** What walks over all services and endpoints: changes of records bring them up to date at once besides. */
   #onSlowTick(now: number): void {
     if (now < this.#nextSlowTickAt) return;
-    this.#nextSlowTickAt = now + constants.SLOW_TICK_MS;
+    this.#nextSlowTickAt = now + constants.SLOW_TICK_INTERVAL_MS;
     if (this.#store.appliedRevision > 0) this.#leaseManager.takeShards(now);
     this.#follower.refreshEndpoints(now);
   }
