--- a/packages/core/src/constants.ts
+++ b/packages/core/src/constants.ts
@@ -25,7 +25,7 @@
 /** Requests of a daemon that vanished end at the endpoints within this time. */
 export const ORPHANED_REQUEST_MS = 900_000;
 /** An endpoint's load report may be this old when it arrives. */
-export const REPORT_LAG_MS = 3000;
+export const MAX_REPORT_DELAY_MS = 3000;
 /** A view that nobody confirmed for this long is stale. */
 export const VIEW_MAX_AGE_MS = 4000;
 /** How long callers may keep an answer to `/v1/addresses`. */
--- a/packages/core/src/orderManager.ts
+++ b/packages/core/src/orderManager.ts
@@ -84,7 +84,7 @@
     work.writing = false;
     if (record.phase === orders.OrderPhase.Draining) {
       work.drainSeenAt = now;
-      work.roleObserver = new orders.RoleChangeObserver(now + constants.REPORT_LAG_MS);
+      work.roleObserver = new orders.RoleChangeObserver(now + constants.MAX_REPORT_DELAY_MS);
     }
     if (record.phase === orders.OrderPhase.Settled) this.#onSettled(record, now);
   }
@@ -226,7 +226,7 @@
       return;
     }
     const load = this.#context.loadOf(endpoint.id);
-    const reportedSince = work.drainSeenAt + constants.REPORT_LAG_MS;
+    const reportedSince = work.drainSeenAt + constants.MAX_REPORT_DELAY_MS;
     const reported = load && load.receivedAt > reportedSince ? load.report.running + load.report.waiting : undefined;
     const plain = this.#context.tree.service(endpoint.serviceId)?.settings.kind === configuration.ServiceKind.Plain;
     const blockers = drains.drainBlockers(
--- a/packages/core/src/orderTable.ts
+++ b/packages/core/src/orderTable.ts
@@ -116,7 +116,7 @@
   #reportedRole(endpoint: string, now: number): configuration.EndpointRole | undefined {
     const load = this.#context.loadOf(endpoint);
     if (!load || now - load.receivedAt > constants.VIEW_MAX_AGE_MS) return undefined;
-    return load.receivedAt > this.progressOf(endpoint).settledAt + constants.REPORT_LAG_MS
+    return load.receivedAt > this.progressOf(endpoint).settledAt + constants.MAX_REPORT_DELAY_MS
       ? load.report.role
       : undefined;
   }
