--- a/packages/core/src/constants.ts
+++ b/packages/core/src/constants.ts
@@ -12,7 +12,7 @@
 /** A holder gives its lease up this long before the service could. */
 export const LEASE_MARGIN_MS = 2000;
 /** How often the lease is renewed. */
-export const LEASE_RENEWAL_MS = 3000;
+export const LEASE_RENEWAL_INTERVAL_MS = 3000;
 /** A gap between ticks above this means that the process was paused. */
 export const PAUSE_THRESHOLD_MS = 2000;
 
--- a/packages/core/src/leaseManager.ts
+++ b/packages/core/src/leaseManager.ts
@@ -69,7 +69,7 @@
     if (this.#renewing || now < this.#nextRenewalAt || this.#registration.stopped) return;
     this.#renewing = true;
     // Jitter keeps daemons that lost the service together from returning together.
-    this.#nextRenewalAt = now + constants.LEASE_RENEWAL_MS * (0.9 + 0.2 * this.#context.random.next());
+    this.#nextRenewalAt = now + constants.LEASE_RENEWAL_INTERVAL_MS * (0.9 + 0.2 * this.#context.random.next());
     const lease = this.#lease.id;
     this.#context.emit({ type: actions.ActionType.RenewLease, ...(lease === undefined ? {} : { lease }) });
   }
