--- a/packages/core/src/controlEventHandler.ts
+++ b/packages/core/src/controlEventHandler.ts
@@ -120,7 +120,7 @@
 
   #onPeerHeard(report: membership.PeerReport, now: number): void {
     const peer = this.#parts.roster.get(report.vm);
-    this.#parts.peerView.learnDemand(peer?.report, report, now);
+    this.#parts.peerView.recordPeerDemand(peer?.report, report, now);
     this.#parts.roster.onHeartbeat(report, now);
     this.#parts.freshness.onPeerReported();
     this.#parts.peerView.sumUp(now);
--- a/packages/core/src/peerView.ts
+++ b/packages/core/src/peerView.ts
@@ -77,7 +77,7 @@
    * @param report - its report now
    * @param now - current time
    */
-  learnDemand(before: membership.PeerReport | undefined, report: membership.PeerReport, now: number): void {
+  recordPeerDemand(before: membership.PeerReport | undefined, report: membership.PeerReport, now: number): void {
     if (before?.incarnation !== report.incarnation) return;
     const known = new Map(before.services.map((share) => [share.service, share]));
     for (const share of report.services) {
