--- a/packages/core/src/controlEventHandler.ts
+++ b/packages/core/src/controlEventHandler.ts
@@ -123,7 +123,7 @@
     this.#parts.peerView.recordPeerDemand(peer?.report, report, now);
     this.#parts.roster.onHeartbeat(report, now);
     this.#parts.freshness.onPeerReported();
-    this.#parts.peerView.sumUp(now);
+    this.#parts.peerView.updatePeerTotals(now);
     const behind = report.appliedRevision < this.#parts.store.appliedRevision;
     if (!peer || report.keyValueReachable || !behind) return;
     // The peer is cut off from the key-value service: it gets here what the watch would have told it.
--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -318,7 +318,7 @@
   #onTick(now: number): void {
     const lost = this.roster.expire(now);
     for (const vm of lost) this.#note(timeline.EventKind.MemberLost, { vm });
-    if (lost.length > 0) this.#peerView.sumUp(now);
+    if (lost.length > 0) this.#peerView.updatePeerTotals(now);
     this.#leaseManager.renew(now);
     this.#onSlowTick(now);
     this.requestDesk.onTick(now);
--- a/packages/core/src/peerView.ts
+++ b/packages/core/src/peerView.ts
@@ -90,7 +90,7 @@
   }
 
   /** @param now - current time; tells the pools what all peers have and what waits there */
-  sumUp(now: number): void {
+  updatePeerTotals(now: number): void {
     const uses = new Map<string, EndpointUse>();
     const queues = new Map<string, admission.WaitingWork>();
     const serving = new Map<string, number>();
