--- a/packages/core/src/controlEventHandler.ts
+++ b/packages/core/src/controlEventHandler.ts
@@ -45,7 +45,7 @@
     switch (event.type) {
       case events.EventType.ControlSnapshot:
         this.#parts.freshness.onKeyValueResponded(now);
-        this.#parts.follower.apply(this.#parts.store.difference(event.records, event.revision), now);
+        this.#parts.follower.apply(this.#parts.store.changesFromSnapshot(event.records, event.revision), now);
         this.#parts.store.completeUpTo(event.revision);
         break;
       case events.EventType.ControlChanges:
--- a/packages/core/src/controlStore.ts
+++ b/packages/core/src/controlStore.ts
@@ -42,7 +42,7 @@
    * @param revision - the snapshot's revision
    * @returns records that are news, with the keys that are gone marked deleted
    */
-  difference(records: readonly keyValue.KeyRecord[], revision: number): keyValue.KeyRecord[] {
+  changesFromSnapshot(records: readonly keyValue.KeyRecord[], revision: number): keyValue.KeyRecord[] {
     const present = new Set(records.map((record) => record.key));
     const gone = [...this.#records.values()]
       .filter((record) => !present.has(record.key) && record.modRevision <= revision)
