--- a/packages/core/src/controlEventHandler.ts
+++ b/packages/core/src/controlEventHandler.ts
@@ -46,11 +46,11 @@
       case events.EventType.ControlSnapshot:
         this.#parts.freshness.onKeyValueResponded(now);
         this.#parts.follower.apply(this.#parts.store.changesFromSnapshot(event.records, event.revision), now);
-        this.#parts.store.completeUpTo(event.revision);
+        this.#parts.store.markAppliedUpTo(event.revision);
         break;
       case events.EventType.ControlChanges:
         this.#parts.follower.apply(event.records, now);
-        if (event.completeRevision !== undefined) this.#parts.store.completeUpTo(event.completeRevision);
+        if (event.completeRevision !== undefined) this.#parts.store.markAppliedUpTo(event.completeRevision);
         break;
       case events.EventType.KeyValueHeard:
         this.#onKeyValueHeard(event.revision, now);
@@ -97,7 +97,7 @@
 
   #onKeyValueHeard(revision: number, now: number): void {
     if (this.#parts.freshness.onKeyValueResponded(now)) this.#note(timeline.EventKind.KeyValueBack);
-    if (this.#parts.store.appliedRevision > 0) this.#parts.store.completeUpTo(revision);
+    if (this.#parts.store.appliedRevision > 0) this.#parts.store.markAppliedUpTo(revision);
   }
 
   #onTransacted(token: string, result: keyValue.TransactionResult, now: number): void {
--- a/packages/core/src/controlStore.ts
+++ b/packages/core/src/controlStore.ts
@@ -51,7 +51,7 @@
   }
 
   /** @param revision - every change up to this one has been applied */
-  completeUpTo(revision: number): void {
+  markAppliedUpTo(revision: number): void {
     this.#appliedRevision = Math.max(this.#appliedRevision, revision);
   }
 
