--- a/packages/core/src/rolePlanner.ts
+++ b/packages/core/src/rolePlanner.ts
@@ -34,7 +34,7 @@
   readonly shortMs: number;
   readonly longMs: number;
   /** Least time between two changes of a service. */
-  readonly restMs: number;
+  readonly cooldownMs: number;
   /** Share of the demand that the engines must be able to serve after a change. */
   readonly leastShare: number;
   /** Share of an engine's time that may be planned with; queues grow beyond it. */
@@ -46,7 +46,7 @@
   horizonMs: 60_000,
   shortMs: 8000,
   longMs: 25_000,
-  restMs: 5000,
+  cooldownMs: 5000,
   usableShare: 0.85,
   leastShare: 0.8,
 };
@@ -133,7 +133,7 @@
     now: number,
   ): PlannedRoleChange | undefined {
     if (this.#startedAt === undefined || now - this.#startedAt < this.#settings.shortMs) return undefined;
-    if (now - this.#lastChangeAt < this.#settings.restMs) return undefined;
+    if (now - this.#lastChangeAt < this.#settings.cooldownMs) return undefined;
     const present = countRoles(endpoints);
     let best: PlannedRoleChange | undefined;
     for (const endpoint of leastBusyOfEachRole(endpoints)) {
--- a/packages/measure/src/replay.ts
+++ b/packages/measure/src/replay.ts
@@ -91,7 +91,8 @@
 
 function settingsOf(policy: Policy): core.PolicySettings {
   const ours = core.POLICY_SETTINGS;
-  if (policy === Policy.NoRoleChange) return { ...ours, planner: { ...ours.planner, restMs: NEVER, shortMs: NEVER } };
+  if (policy === Policy.NoRoleChange)
+    return { ...ours, planner: { ...ours.planner, cooldownMs: NEVER, shortMs: NEVER } };
   if (policy === Policy.NoAdmission) return { ...ours, refusesLate: false };
   if (policy === Policy.NoAffinity) return { ...ours, choice: { ...ours.choice, prefixAffinity: false } };
   if (policy === Policy.LongEngineQueues) return { ...ours, choice: { ...ours.choice, prefillWindowMs: NEVER } };
