--- a/packages/core/src/rolePlanner.ts
+++ b/packages/core/src/rolePlanner.ts
@@ -36,7 +36,7 @@
   /** Least time between two changes of a service. */
   readonly cooldownMs: number;
   /** Share of the demand that the engines must be able to serve after a change. */
-  readonly leastShare: number;
+  readonly minServedShare: number;
   /** Share of an engine's time that may be planned with; queues grow beyond it. */
   readonly usableShare: number;
 }
@@ -48,7 +48,7 @@
   longMs: 25_000,
   cooldownMs: 5000,
   usableShare: 0.85,
-  leastShare: 0.8,
+  minServedShare: 0.8,
 };
 
 /** An average over a time that fades. */
@@ -161,7 +161,7 @@
       const share = (counts: RoleCounts): number => servedShare(counts, demand, this.#settings.usableShare);
       // In an overload the admission takes in what is cheap, whatever the roles,
       // and a change that follows the mix of all that arrives works against it.
-      if (share(present) > 0 && share(after) < this.#settings.leastShare) return Number.NEGATIVE_INFINITY;
+      if (share(present) > 0 && share(after) < this.#settings.minServedShare) return Number.NEGATIVE_INFINITY;
       const gained = (share(after) - share(present)) * requests * (this.#settings.horizonMs - awayMs);
       const lost = (share(present) - share(during)) * requests * awayMs;
       return gained - lost;
