--- a/packages/core/src/rolePlanner.ts
+++ b/packages/core/src/rolePlanner.ts
@@ -38,7 +38,7 @@
   /** Share of the demand that the engines must be able to serve after a change. */
   readonly minServedShare: number;
   /** Share of an engine's time that may be planned with; queues grow beyond it. */
-  readonly usableShare: number;
+  readonly maxUtilization: number;
 }
 
 /** Settings that the replay measure found best. */
@@ -47,7 +47,7 @@
   shortMs: 8000,
   longMs: 25_000,
   cooldownMs: 5000,
-  usableShare: 0.85,
+  maxUtilization: 0.85,
   minServedShare: 0.8,
 };
 
@@ -158,7 +158,7 @@
     if (!servesAtAll(after)) return Number.NEGATIVE_INFINITY;
     const gains = [this.#short, this.#long].map((rate) => {
       const { demand, requests } = rate.read(now);
-      const share = (counts: RoleCounts): number => servedShare(counts, demand, this.#settings.usableShare);
+      const share = (counts: RoleCounts): number => servedShare(counts, demand, this.#settings.maxUtilization);
       // In an overload the admission takes in what is cheap, whatever the roles,
       // and a change that follows the mix of all that arrives works against it.
       if (share(present) > 0 && share(after) < this.#settings.minServedShare) return Number.NEGATIVE_INFINITY;
