--- a/packages/core/src/orderManager.ts
+++ b/packages/core/src/orderManager.ts
@@ -284,7 +284,7 @@
     this.#book.progressOf(record.endpoint).settledAt = now;
     const endpoint = this.#context.tree.endpoint(record.endpoint);
     const pool = endpoint && this.#context.poolOf(endpoint.serviceId);
-    pool?.planner.onChanged(now);
+    pool?.planner.onRoleChanged(now);
     if (record.fromRole !== record.targetRole) pool?.endpoint(record.endpoint)?.forgetPrefixes();
     this.#book.setWaitReason(record.endpoint, "");
   }
--- a/packages/core/src/rolePlanner.ts
+++ b/packages/core/src/rolePlanner.ts
@@ -115,7 +115,7 @@
   }
 
   /** @param now - when the last change ended */
-  onChanged(now: number): void {
+  onRoleChanged(now: number): void {
     this.#lastChangeAt = now;
   }
 
