--- a/packages/core/src/drains.ts
+++ b/packages/core/src/drains.ts
@@ -8,7 +8,7 @@
   /** Requests of this daemon at the endpoint. */
   readonly ownInFlight: number;
   /** Requests that the endpoint itself reported since the drain began, undefined if it hasn't. */
-  readonly endpointReports: number | undefined;
+  readonly reportedRequests: number | undefined;
   /** Whether the endpoint has to say so itself, as a daemon has vanished lately. */
   readonly needsEndpointReport: boolean;
 }
@@ -33,8 +33,8 @@
   }
   for (const vm of roster.lostVms()) blockers.push(`daemon on ${vm} vanished and its VM is still listed`);
   if (!view.needsEndpointReport) return blockers;
-  if (view.endpointReports === undefined) blockers.push("no load report from the endpoint since the drain began");
-  else if (view.endpointReports > 0) blockers.push(`the endpoint reports ${view.endpointReports} requests`);
+  if (view.reportedRequests === undefined) blockers.push("no load report from the endpoint since the drain began");
+  else if (view.reportedRequests > 0) blockers.push(`the endpoint reports ${view.reportedRequests} requests`);
   return blockers;
 }
 
--- a/packages/core/src/orderManager.ts
+++ b/packages/core/src/orderManager.ts
@@ -234,7 +234,7 @@
         endpoint: endpoint.id,
         recordRevision: known.revision,
         ownInFlight: this.#context.poolOf(endpoint.serviceId)?.endpoint(endpoint.id)?.inFlight ?? 0,
-        endpointReports: reported,
+        reportedRequests: reported,
         needsEndpointReport: !plain && this.#context.roster.hasRecentLoss(now),
       },
       this.#context.roster,
