--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -309,7 +309,7 @@
   }
 
   #noticePause(now: number): void {
-    const pausedMs = this.#leaseManager.noticePause(now);
+    const pausedMs = this.#leaseManager.detectPause(now);
     if (pausedMs === 0) return;
     this.#freshness.onPaused();
     this.#note(timeline.EventKind.Paused, { pausedMs: Math.round(pausedMs) });
--- a/packages/core/src/leaseManager.ts
+++ b/packages/core/src/leaseManager.ts
@@ -58,7 +58,7 @@
    * @param now - current time
    * @returns how long the process was paused, 0 if it was not
    */
-  noticePause(now: number): number {
+  detectPause(now: number): number {
     const pausedMs = this.#lease.onTick(now);
     if (pausedMs > 0) this.#nextRenewalAt = now;
     return pausedMs;
