--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -337,7 +337,7 @@
   #onStopAsked(): void {
     if (this.registration.leaving) return;
     this.#note(timeline.EventKind.Leaving, {});
-    this.#leaseManager.leave();
+    this.#leaseManager.markLeaving();
   }
 
   /**
--- a/packages/core/src/leaseManager.ts
+++ b/packages/core/src/leaseManager.ts
@@ -115,7 +115,7 @@
   }
 
   /** The daemon leaves: callers are sent elsewhere. */
-  leave(): void {
+  markLeaving(): void {
     this.#registration = { ...this.#registration, leaving: true };
     this.#register();
   }
