--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -349,7 +349,7 @@
    */
   markStopped(instant: Instant): actions.Action[] {
     this.#instant = instant;
-    this.#leaseManager.stop();
+    this.#leaseManager.markStopped();
     const result = this.#actions;
     this.#actions = [];
     return result;
--- a/packages/core/src/leaseManager.ts
+++ b/packages/core/src/leaseManager.ts
@@ -121,7 +121,7 @@
   }
 
   /** Nothing runs here any more. */
-  stop(): void {
+  markStopped(): void {
     this.#registration = { ...this.#registration, stopped: true };
     this.#registering = false;
     this.#register();
