--- a/packages/core/src/actions.ts
+++ b/packages/core/src/actions.ts
@@ -8,7 +8,7 @@
 import type * as endpointModel from "./endpointModel.js";
 import type * as timeline from "./timeline.js";
 
-/** The kinds of thing that the core asks the shell to do. */
+/** The kinds of action that the core asks its host process to carry out. */
 export enum ActionType {
   Dispatch = "dispatch",
   CancelAttempt = "cancel-attempt",
@@ -27,17 +27,17 @@
   Note = "note",
 }
 
-/** Where a prompt's KV cache is to be fetched from. */
+/** Where the decode engine fetches a prompt's KV cache from. */
 export interface Handoff {
   readonly url: string;
   readonly attempt: string;
 }
 
-/** Send one part of a request to an endpoint. */
+/** Sends one part of a request to an endpoint. */
 export interface DispatchAction {
   readonly type: ActionType.Dispatch;
   readonly request: string;
-  /** Nonce that the answer must carry. */
+  /** Unique id of the attempt; the answer must carry it. */
   readonly attempt: string;
   readonly endpoint: string;
   readonly url: string;
@@ -47,7 +47,7 @@
   readonly handoff?: Handoff;
 }
 
-/** Send an order, if `Core.mayOrder` still holds in the step that writes it. */
+/** Sends a role order, if `Core.maySendOrder` still allows it in the same event-loop step as the write. */
 export interface SendOrderAction {
   readonly type: ActionType.SendOrder;
   readonly endpoint: string;
@@ -58,7 +58,7 @@
   readonly role: configuration.EndpointRole;
 }
 
-/** Everything that the core may ask for. */
+/** An action that the core asks its host process to carry out. */
 export type Action =
   | DispatchAction
   | SendOrderAction
@@ -70,7 +70,7 @@
     }
   | { readonly type: ActionType.Refuse; readonly request: string; readonly problem: common.Problem }
   | { readonly type: ActionType.Relay; readonly request: string; readonly answer: attempts.KeptAnswer }
-  /** Ask the partition's preferred daemon; if it can't be reached, hand the claim back as ClaimsAsked. */
+  /** Asks the partition's preferred daemon; if it is unreachable, the claim is returned to the core as ClaimsAsked. */
   | { readonly type: ActionType.AskClaim; readonly claim: claims.Claim; readonly peerUrl: string }
   | {
       readonly type: ActionType.AskJoin;
--- a/packages/core/src/changeChooser.ts
+++ b/packages/core/src/changeChooser.ts
@@ -1,31 +1,31 @@
 import * as configuration from "./configuration.js";
 import type * as servicePool from "./servicePool.js";
 
-/** A change of one endpoint that is to be begun. */
+/** A change of one endpoint that should begin: a drain or a role change. */
 export interface WantedChange {
   readonly endpoint: configuration.EndpointEntry;
   readonly fromRole: configuration.EndpointRole;
-  /** The same as `fromRole` for a drain that no order follows. */
+  /** The same as `fromRole` for a drain without a role change. */
   readonly targetRole: configuration.EndpointRole;
   readonly reason: string;
 }
 
-/** What the chooser has to know. */
+/** State that {@link ChangeChooser} reads. */
 export interface ChooserView {
   readonly tree: configuration.ConfigurationTree;
   poolOf(service: string): servicePool.ServicePool | undefined;
-  /** Whether the endpoint has reported its load, and with it its role. */
+  /** Whether the endpoint has sent a load report, which includes its role. */
   hasReported(endpoint: string): boolean;
-  /** Whether no change of the endpoint is under way. */
+  /** Whether no change of the endpoint is in progress. */
   isSettled(endpoint: string): boolean;
   roleOf(endpoint: configuration.EndpointEntry, now: number): configuration.EndpointRole;
 }
 
-/** Chooses which change comes next: what the operator asks for, then what the planner proposes. */
+/** Chooses the next change of a service: first those set by the operator, then those proposed by the planner. */
 export class ChangeChooser {
   readonly #view: ChooserView;
 
-  /** @param view - what has to be known */
+  /** @param view - the state to read */
   constructor(view: ChooserView) {
     this.#view = view;
   }
@@ -33,21 +33,21 @@
   /**
    * @param service - the service
    * @param now - current time
-   * @returns the change to begin, if there is one
+   * @returns the change to begin, if any
    */
   next(service: configuration.ServiceEntry, now: number): WantedChange | undefined {
     const endpoints = this.#view.tree.endpointsOf(service.id).filter((endpoint) => this.#view.isSettled(endpoint.id));
     for (const endpoint of endpoints) {
-      const change = this.#wanted(service, endpoint, now);
+      const change = this.#operatorChange(service, endpoint, now);
       if (change) return change;
     }
     return service.settings.kind === configuration.ServiceKind.Engine
-      ? this.#planned(service, endpoints, now)
+      ? this.#plannedChange(service, endpoints, now)
       : undefined;
   }
 
-  /** A change that the operator's document asks for. */
-  #wanted(
+  /** Returns the change that the operator's document asks for, if any. */
+  #operatorChange(
     service: configuration.ServiceEntry,
     endpoint: configuration.EndpointEntry,
     now: number,
@@ -56,17 +56,18 @@
     if (endpoint.settings.state === configuration.EndpointState.Draining) {
       return { endpoint, fromRole, targetRole: fromRole, reason: "drained by the operator" };
     }
-    const fixed = endpoint.settings.role;
-    const wanted = Object.values(configuration.EndpointRole).find(
-      (candidate) => candidate.valueOf() === fixed.valueOf(),
+    const roleChoice = endpoint.settings.role;
+    const chosenRole = Object.values(configuration.EndpointRole).find(
+      (candidate) => candidate.valueOf() === roleChoice.valueOf(),
     );
-    const plain = service.settings.kind === configuration.ServiceKind.Plain;
-    if (plain || wanted === undefined || wanted === fromRole || !this.#view.hasReported(endpoint.id)) return undefined;
-    return { endpoint, fromRole, targetRole: wanted, reason: "role set by the operator" };
+    const isPlain = service.settings.kind === configuration.ServiceKind.Plain;
+    if (isPlain || chosenRole === undefined || chosenRole === fromRole || !this.#view.hasReported(endpoint.id))
+      return undefined;
+    return { endpoint, fromRole, targetRole: chosenRole, reason: "role set by the operator" };
   }
 
-  /** A change that the planner proposes. */
-  #planned(
+  /** Returns the change that the planner proposes, if any. */
+  #plannedChange(
     service: configuration.ServiceEntry,
     endpoints: readonly configuration.EndpointEntry[],
     now: number,
--- a/packages/core/src/claimManager.ts
+++ b/packages/core/src/claimManager.ts
@@ -4,85 +4,89 @@
 import type * as keyValue from "./keyValueTypes.js";
 import type * as membership from "./membership.js";
 
-/** What the desk asks of its surroundings. */
+/** Dependencies of {@link ClaimManager}. */
 export interface ClaimContext {
   readonly vm: string;
   readonly incarnation: string;
   servingMembers(): membership.Registration[];
-  onClaimAnswered(request: string, verdict: claims.ClaimVerdict, standing: claims.Claim | undefined): void;
+  onClaimAnswered(request: string, verdict: claims.ClaimVerdict, existing: claims.Claim | undefined): void;
   emit(action: actions.Action): void;
 }
 
-/** Brings each claim to its partition's preferred daemon, and the verdict back to the request. */
+/** Routes each claim to its partition's preferred daemon and returns the verdict to the request. */
 export class ClaimManager {
   readonly #context: ClaimContext;
-  readonly #book: claims.ClaimTable;
-  readonly #requests = new Map<string, string>();
+  readonly #table: claims.ClaimTable;
+  readonly #requestsByAttempt = new Map<string, string>();
 
-  /** @param context - the daemon round the desk */
+  /** @param context - dependencies */
   constructor(context: ClaimContext) {
     this.#context = context;
-    this.#book = new claims.ClaimTable(context.incarnation);
+    this.#table = new claims.ClaimTable(context.incarnation);
   }
 
-  /** @returns whether claims wait to be written */
+  /** @returns whether claims are waiting to be written */
   get hasWaiting(): boolean {
-    return this.#book.hasWaiting;
+    return this.#table.hasWaiting;
   }
 
   /**
+   * Requests a claim; the verdict is reported by `onClaimAnswered` of the context.
+   *
    * @param request - id of the request that needs the claim
    * @param claim - the claim
    */
   request(request: string, claim: claims.Claim): void {
-    this.#requests.set(claim.attempt, request);
+    this.#requestsByAttempt.set(claim.attempt, request);
     const members = this.#context.servingMembers();
     const partition = claims.ClaimTable.partitionOf(claim.key);
-    const names = members.map((member) => member.vm);
-    const [preferred] = common.rendezvousOrder(`claims/${partition}`, names);
+    const vms = members.map((member) => member.vm);
+    const [preferred] = common.rendezvousOrder(`claims/${partition}`, vms);
     const owner = members.find((member) => member.vm === preferred);
-    if (!owner || owner.vm === this.#context.vm) this.#book.request(claim);
+    if (!owner || owner.vm === this.#context.vm) this.#table.request(claim);
     else this.#context.emit({ type: actions.ActionType.AskClaim, claim, peerUrl: owner.peerUrl });
   }
 
-  /** @param asked - claims of other daemons, or own ones whose preferred daemon is out of reach */
+  /** @param asked - claims of other daemons, or own claims whose preferred daemon is unreachable */
   onAsked(asked: readonly claims.Claim[]): void {
-    for (const claim of asked) this.#book.request(claim);
+    for (const claim of asked) this.#table.request(claim);
   }
 
   /**
-   * @param attempt - the attempt of one of our own claims
-   * @param verdict - what became of it
-   * @param standing - the claim that stands, when another has the key
+   * Handles the verdict on one of this daemon's claims.
+   *
+   * @param attempt - the claim's attempt
+   * @param verdict - the verdict
+   * @param existing - the existing claim, if another attempt holds the key
    */
-  onAnswered(attempt: string, verdict: claims.ClaimVerdict, standing: claims.Claim | undefined): void {
-    const request = this.#requests.get(attempt);
+  onAnswered(attempt: string, verdict: claims.ClaimVerdict, existing: claims.Claim | undefined): void {
+    const request = this.#requestsByAttempt.get(attempt);
     if (request === undefined) return;
-    this.#requests.delete(attempt);
-    this.#context.onClaimAnswered(request, verdict, standing);
+    this.#requestsByAttempt.delete(attempt);
+    this.#context.onClaimAnswered(request, verdict, existing);
   }
 
   /**
    * @param partition - number of the partition that was read
-   * @param records - its keys, or undefined if the service could not be asked
+   * @param records - its keys, or undefined if the key-value service was unreachable
    */
   onRead(partition: number, records: readonly keyValue.KeyRecord[] | undefined): void {
-    this.#book.onRead(partition, records);
+    this.#table.onRead(partition, records);
   }
 
-  /** @param result - how the write under way ended */
+  /** @param result - result of the write in progress */
   onWritten(result: keyValue.TransactionResult): void {
-    this.#book.onWritten(result);
+    this.#table.onWritten(result);
   }
 
   /**
-   * Begins the reads and writes that are due and hands out the verdicts.
+   * Emits the reads and writes that are due and delivers the verdicts.
    *
    * @param now - monotonic time
-   * @param wall - calendar time
+   * @param systemTime - time of day, in milliseconds since the epoch
    */
-  run(now: number, wall: number): void {
-    for (const command of this.#book.nextCommands(now, wall)) {
+  run(now: number, systemTime: number): void {
+    for (const command of this.#table.nextCommands(now, systemTime)) {
       if (command.kind === "read") {
         const token = `claims:${command.partition}`;
         this.#context.emit({ type: actions.ActionType.ReadKeys, token, prefix: command.prefix });
@@ -90,9 +94,9 @@
         this.#context.emit({ type: actions.ActionType.Transact, token: "claims", transaction: command.transaction });
       }
     }
-    const answers = this.#book.takeAnswers();
-    const foreign = answers.filter((answer) => !this.#requests.has(answer.claim.attempt));
-    if (foreign.length > 0) this.#context.emit({ type: actions.ActionType.AnswerClaims, answers: foreign });
+    const answers = this.#table.takeAnswers();
+    const peerAnswers = answers.filter((answer) => !this.#requestsByAttempt.has(answer.claim.attempt));
+    if (peerAnswers.length > 0) this.#context.emit({ type: actions.ActionType.AnswerClaims, answers: peerAnswers });
     for (const { claim, verdict, standing } of answers) this.onAnswered(claim.attempt, verdict, standing);
   }
 }
--- a/packages/core/src/claims.ts
+++ b/packages/core/src/claims.ts
@@ -2,23 +2,23 @@
 import * as constants from "./constants.js";
 import * as keyValue from "./keyValueTypes.js";
 
-/** The durable statement that one attempt may run the request of an idempotency key. */
+/** Durable record of the one attempt that may run the request of an idempotency key. */
 export interface Claim {
   /** Team, service and the caller's Idempotency-Key. */
   readonly key: string;
-  /** Digest of the request, so that the key can't be used for another one. */
+  /** Digest of the request, so that the key can't be reused for another one. */
   readonly digest: string;
   readonly vm: string;
   readonly incarnation: string;
   readonly attempt: string;
 }
 
-/** What became of a claim. */
+/** Result of a claim. */
 export enum ClaimVerdict {
   Granted = "granted",
-  /** Another attempt has the key. */
+  /** Another attempt holds the key. */
   Taken = "taken",
-  /** The key-value service can't be asked now; nothing may be run. */
+  /** The key-value service is unreachable; the request must not run. */
   Unavailable = "unavailable",
 }
 
@@ -26,11 +26,11 @@
 export interface ClaimAnswer {
   readonly claim: Claim;
   readonly verdict: ClaimVerdict;
-  /** The claim that stands, when another has the key. */
+  /** The existing claim, if another attempt holds the key. */
   readonly standing?: Claim;
 }
 
-/** What the book wants done next. */
+/** A read or write that {@link ClaimTable} asks for. */
 export type ClaimCommand =
   | { readonly kind: "read"; readonly partition: number; readonly prefix: string }
   | { readonly kind: "write"; readonly transaction: keyValue.Transaction };
@@ -50,35 +50,36 @@
   reading: boolean;
   headRevision: number;
   sequence: number;
-  readonly standing: Map<string, Claim>;
+  readonly claimsByKey: Map<string, Claim>;
   readonly batches: { sequence: number; writtenAt: number; keys: string[] }[];
   waiting: Claim[];
   inFlight: Claim[];
 }
 
-/** Allowance for calendar clocks that differ between VMs. */
+/** Allowance for system clocks that differ between VMs. */
 const CLOCK_SKEW_MS = 60_000;
 const SEQUENCE_DIGITS = 12;
 
 /**
- * The claims of all partitions as one daemon sees them. A partition is a log
- * of batches in the key-value service; a batch is appended by compare-and-swap
- * on the partition's head. Any daemon may append; the partition's preferred
- * daemon merely lets many claims share a write.
+ * One daemon's copy of the claims of all partitions. A partition is a log of
+ * batches in the key-value service; a batch is appended by compare-and-swap on
+ * the partition's head key. Any daemon may append; a partition has a preferred
+ * daemon only so that many claims share a write.
  *
- * Two daemons that append at once: one swap fails, its daemon reads the log
- * again and finds the other's claims before it answers. So the swap alone
- * keeps a key from being granted twice, whoever believes to own a partition.
+ * If two daemons append at the same time, one compare-and-swap fails; that
+ * daemon rereads the log and sees the other's claims before it answers. So the
+ * compare-and-swap alone prevents a key from being granted twice, whichever
+ * daemon considers itself the preferred one.
  */
 export class ClaimTable {
   readonly #writer: string;
   readonly #partitions = new Map<number, Partition>();
   #answers: ClaimAnswer[] = [];
-  #writing: number[] = [];
+  #partitionsInWrite: number[] = [];
   #lastWriteAt = Number.NEGATIVE_INFINITY;
-  #lastWriteWall = 0;
+  #lastWriteSystemTime = 0;
 
-  /** @param writer - names this process, so that it knows its own batches */
+  /** @param writer - identifies this process as the writer of its batches */
   constructor(writer: string) {
     this.#writer = writer;
   }
@@ -92,22 +93,22 @@
   }
 
   /**
-   * Asks for a claim; the answer comes with {@link takeAnswers}.
+   * Requests a claim; {@link takeAnswers} returns the answer.
    *
    * @param claim - the claim
    */
   request(claim: Claim): void {
     const partition = this.#partition(ClaimTable.partitionOf(claim.key));
-    if (partition.loaded && this.#answerFromStanding(partition, claim)) return;
+    if (partition.loaded && this.#answerFromExisting(partition, claim)) return;
     partition.waiting.push(claim);
   }
 
-  /** @returns whether claims wait to be written */
+  /** @returns whether claims are waiting to be written */
   get hasWaiting(): boolean {
     return [...this.#partitions.values()].some((partition) => partition.waiting.length > 0);
   }
 
-  /** @returns the answers since the last call */
+  /** @returns the answers since the last call, and removes them */
   takeAnswers(): ClaimAnswer[] {
     const answers = this.#answers;
     this.#answers = [];
@@ -116,10 +117,10 @@
 
   /**
    * @param now - monotonic time
-   * @param wall - calendar time
-   * @returns reads and at most one write to carry out
+   * @param systemTime - time of day, in milliseconds since the epoch
+   * @returns the reads and the write (at most one) to carry out
    */
-  nextCommands(now: number, wall: number): ClaimCommand[] {
+  nextCommands(now: number, systemTime: number): ClaimCommand[] {
     const commands: ClaimCommand[] = [];
     for (const [number, partition] of this.#partitions) {
       const wanted = partition.waiting.length > 0 || partition.inFlight.length > 0;
@@ -127,14 +128,14 @@
       partition.reading = true;
       commands.push({ kind: "read", partition: number, prefix: partitionPrefix(number) });
     }
-    const write = this.#nextWrite(now, wall);
+    const write = this.#nextWrite(now, systemTime);
     if (write) commands.push({ kind: "write", transaction: write });
     return commands;
   }
 
   /**
    * @param number - the partition that was read
-   * @param records - its keys, or undefined if the service could not be asked
+   * @param records - its keys, or undefined if the key-value service was unreachable
    */
   onRead(number: number, records: readonly keyValue.KeyRecord[] | undefined): void {
     const partition = this.#partition(number);
@@ -151,11 +152,11 @@
   }
 
   /**
-   * @param result - how the write under way ended
+   * @param result - result of the write in progress
    */
   onWritten(result: keyValue.TransactionResult): void {
-    const numbers = this.#writing;
-    this.#writing = [];
+    const numbers = this.#partitionsInWrite;
+    this.#partitionsInWrite = [];
     for (const number of numbers) this.#settle(this.#partition(number), result);
   }
 
@@ -166,7 +167,8 @@
     }
     if (result.outcome !== keyValue.TransactionOutcome.Applied) {
       // Refused: another daemon appended. Unknown: the reply was lost and the
-      // batch may stand. Either way only the log itself can tell who has which key.
+      // batch may have been written. In both cases the log must be read again
+      // to find out which attempt holds which key.
       partition.loaded = false;
       return;
     }
@@ -174,62 +176,62 @@
     partition.headRevision = result.revision;
     addBatch(partition, partition.sequence, {
       writer: this.#writer,
-      writtenAt: this.#lastWriteWall,
+      writtenAt: this.#lastWriteSystemTime,
       claims: partition.inFlight,
     });
     for (const claim of partition.inFlight) this.#answers.push({ claim, verdict: ClaimVerdict.Granted });
     partition.inFlight = [];
-    const late = partition.waiting;
+    const waiting = partition.waiting;
     partition.waiting = [];
-    for (const claim of late) this.request(claim);
+    for (const claim of waiting) this.request(claim);
   }
 
-  #nextWrite(now: number, wall: number): keyValue.Transaction | undefined {
-    if (this.#writing.length > 0) return undefined;
+  #nextWrite(now: number, systemTime: number): keyValue.Transaction | undefined {
+    if (this.#partitionsInWrite.length > 0) return undefined;
     if (now - this.#lastWriteAt < constants.CLAIM_WRITE_INTERVAL_MS) return undefined;
     const conditions: keyValue.KeyCondition[] = [];
     const puts: keyValue.KeyPut[] = [];
     const deletes: { key: string; rangeEnd: string }[] = [];
     for (const [number, partition] of this.#partitions) {
       if (!partition.loaded || partition.waiting.length === 0) continue;
-      this.#takeBatch(partition);
+      this.#fillBatch(partition);
       if (partition.inFlight.length === 0) continue;
-      this.#writing.push(number);
+      this.#partitionsInWrite.push(number);
       const head = `${partitionPrefix(number)}head`;
       conditions.push({ key: head, kind: keyValue.RevisionKind.Modified, revision: partition.headRevision });
       puts.push({ key: head, value: JSON.stringify({ sequence: partition.sequence + 1 } satisfies Head) });
-      const batch: Batch = { writer: this.#writer, writtenAt: wall, claims: partition.inFlight };
+      const batch: Batch = { writer: this.#writer, writtenAt: systemTime, claims: partition.inFlight };
       puts.push({ key: batchKey(number, partition.sequence + 1), value: JSON.stringify(batch) });
-      const expired = forgetExpired(partition, wall);
+      const expired = removeExpired(partition, systemTime);
       if (expired > 0) deletes.push({ key: batchKey(number, 0), rangeEnd: batchKey(number, expired + 1) });
     }
     if (puts.length === 0) return undefined;
     this.#lastWriteAt = now;
-    this.#lastWriteWall = wall;
+    this.#lastWriteSystemTime = systemTime;
     return { conditions, puts, deletes };
   }
 
-  /** Two claims of one key in the same batch: the first has it, the second waits for the outcome. */
-  #takeBatch(partition: Partition): void {
+  /** Moves waiting claims into the batch. Of two claims of one key, the second waits for the result of the first. */
+  #fillBatch(partition: Partition): void {
     const keys = new Set<string>();
-    const later: Claim[] = [];
+    const deferred: Claim[] = [];
     for (const claim of partition.waiting) {
       if (keys.has(claim.key) || partition.inFlight.length >= constants.CLAIM_BATCH_LIMIT) {
-        later.push(claim);
+        deferred.push(claim);
         continue;
       }
       keys.add(claim.key);
       partition.inFlight.push(claim);
     }
-    partition.waiting = later;
+    partition.waiting = deferred;
   }
 
-  #answerFromStanding(partition: Partition, claim: Claim): boolean {
-    const standing = partition.standing.get(claim.key);
-    if (!standing) return false;
-    const own = standing.attempt === claim.attempt && standing.incarnation === claim.incarnation;
+  #answerFromExisting(partition: Partition, claim: Claim): boolean {
+    const existing = partition.claimsByKey.get(claim.key);
+    if (!existing) return false;
+    const own = existing.attempt === claim.attempt && existing.incarnation === claim.incarnation;
     this.#answers.push(
-      own ? { claim, verdict: ClaimVerdict.Granted } : { claim, verdict: ClaimVerdict.Taken, standing },
+      own ? { claim, verdict: ClaimVerdict.Granted } : { claim, verdict: ClaimVerdict.Taken, standing: existing },
     );
     return true;
   }
@@ -246,18 +248,18 @@
   #partition(number: number): Partition {
     const present = this.#partitions.get(number);
     if (present) return present;
-    const fresh: Partition = {
+    const created: Partition = {
       loaded: false,
       reading: false,
       headRevision: 0,
       sequence: 0,
-      standing: new Map(),
+      claimsByKey: new Map(),
       batches: [],
       waiting: [],
       inFlight: [],
     };
-    this.#partitions.set(number, fresh);
-    return fresh;
+    this.#partitions.set(number, created);
+    return created;
   }
 }
 
@@ -272,7 +274,7 @@
 function load(partition: Partition, records: readonly keyValue.KeyRecord[], number: number): void {
   const headKey = `${partitionPrefix(number)}head`;
   const head = records.find((record) => record.key === headKey);
-  partition.standing.clear();
+  partition.claimsByKey.clear();
   partition.batches.length = 0;
   partition.headRevision = head?.modRevision ?? 0;
   partition.sequence = head ? (JSON.parse(head.value) as Head).sequence : 0;
@@ -284,20 +286,20 @@
 }
 
 function addBatch(partition: Partition, sequence: number, batch: Batch): void {
-  for (const claim of batch.claims) partition.standing.set(claim.key, claim);
+  for (const claim of batch.claims) partition.claimsByKey.set(claim.key, claim);
   const keys = batch.claims.map((claim) => claim.key);
   partition.batches.push({ sequence, writtenAt: batch.writtenAt, keys });
 }
 
-/** Drops batches older than the window and returns the last sequence dropped, 0 if none. */
-function forgetExpired(partition: Partition, wall: number): number {
-  const horizon = wall - constants.CLAIM_WINDOW_MS - CLOCK_SKEW_MS;
-  let last = 0;
-  while (partition.batches[0] && partition.batches[0].writtenAt < horizon) {
+/** Removes batches older than the deduplication window; returns the last sequence removed, 0 if none. */
+function removeExpired(partition: Partition, systemTime: number): number {
+  const expiredBefore = systemTime - constants.CLAIM_WINDOW_MS - CLOCK_SKEW_MS;
+  let lastSequence = 0;
+  while (partition.batches[0] && partition.batches[0].writtenAt < expiredBefore) {
     const batch = partition.batches.shift();
     if (!batch) break;
-    for (const key of batch.keys) partition.standing.delete(key);
-    last = batch.sequence;
+    for (const key of batch.keys) partition.claimsByKey.delete(key);
+    lastSequence = batch.sequence;
   }
-  return last;
+  return lastSequence;
 }
--- a/packages/core/src/configuration.ts
+++ b/packages/core/src/configuration.ts
@@ -4,20 +4,20 @@
 import * as zod from "zod";
 import * as constants from "./constants.js";
 
-/** What an endpoint is. */
+/** Whether a service is served by inference engines or by plain HTTP endpoints. */
 export enum ServiceKind {
   Engine = "engine",
   Plain = "service",
 }
 
-/** What an engine is set up to do. */
+/** The phases of inference that an engine runs. */
 export enum EndpointRole {
   Prefill = "prefill",
   Decode = "decode",
   Mixed = "mixed",
 }
 
-/** Who decides an engine's role. */
+/** An engine's role as the operator sets it; `Auto` leaves it to the planner. */
 export enum RoleChoice {
   Auto = "auto",
   Prefill = "prefill",
@@ -25,19 +25,19 @@
   Mixed = "mixed",
 }
 
-/** What the operator wants of an endpoint. */
+/** An endpoint's state as the operator sets it. */
 export enum EndpointState {
   Active = "active",
-  /** No new work; what runs is finished. */
+  /** Takes no new requests; running ones finish. */
   Draining = "draining",
 }
 
 const NAME = zod.string().regex(/^[a-z0-9][a-z0-9-]{0,62}$/, "use lower-case letters, digits and hyphens");
 
 const limitsSchema = zod.strictObject({
-  /** Requests of the service that a daemon holds at once, waiting ones included. */
+  /** Maximum concurrent requests of the service at one daemon, including waiting ones. */
   concurrent: zod.int().positive().default(2000),
-  /** Calls that one plain endpoint is given at once, over all daemons. */
+  /** Maximum concurrent calls at one plain endpoint, over all daemons. */
   perEndpoint: zod.int().positive().default(16),
 });
 
@@ -48,7 +48,7 @@
   deadlineMs: zod.int().min(100).max(600_000).default(30_000),
   priority: zod.int().min(0).max(9).default(5),
   limits: limitsSchema.default({ concurrent: 2000, perEndpoint: 16 }),
-  /** Answers in time that a role change must gain beyond what it costs. */
+  /** Requests answered in time that a role change must gain beyond its cost. */
   roleChangeWeight: zod.number().nonnegative().default(10),
 });
 
@@ -73,69 +73,69 @@
 export type ServiceSettings = zod.infer<typeof serviceSchema>;
 /** Settings of one endpoint. */
 export type EndpointSettings = zod.infer<typeof endpointSchema>;
-/** A team's subtree. */
+/** A team's configuration document. */
 export type TeamDocument = zod.infer<typeof documentSchema>;
 
 /**
- * Checks a team's document whole.
+ * Parses and validates a team's document.
  *
  * @param text - the YAML document
- * @param team - the team whose subtree it is to become
- * @returns the document, or a problem that names each path and what is wrong there
+ * @param team - the team that the document must be for
+ * @returns the document, or a problem that lists each invalid path with its error
  */
 export function parseTeamDocument(text: string, team: string): neverthrow.Result<TeamDocument, common.Problem> {
-  const read = readYaml(text);
-  if (read.isErr()) return neverthrow.err(invalid([read.error]));
-  const parsed = documentSchema.safeParse(read.value);
+  const content = parseYaml(text);
+  if (content.isErr()) return neverthrow.err(invalidConfiguration([content.error]));
+  const parsed = documentSchema.safeParse(content.value);
   if (!parsed.success) {
-    const faults = parsed.error.issues.map((issue) => `${issue.path.join(".") || "document"}: ${messageOf(issue)}`);
-    return neverthrow.err(invalid(faults));
+    const errors = parsed.error.issues.map((issue) => `${issue.path.join(".") || "document"}: ${messageOf(issue)}`);
+    return neverthrow.err(invalidConfiguration(errors));
   }
-  const faults = crossCheck(parsed.data, team);
-  return faults.length > 0 ? neverthrow.err(invalid(faults)) : neverthrow.ok(parsed.data);
+  const errors = checkReferences(parsed.data, team);
+  return errors.length > 0 ? neverthrow.err(invalidConfiguration(errors)) : neverthrow.ok(parsed.data);
 }
 
-/** For a key that is no name, the rule that it breaks says more than that it is invalid. */
+/** For an invalid record key, returns the message of the broken name rule, which is more specific. */
 function messageOf(issue: zod.core.$ZodIssue): string {
   return issue.code === "invalid_key" ? (issue.issues[0]?.message ?? issue.message) : issue.message;
 }
 
-function readYaml(text: string): neverthrow.Result<unknown, string> {
+function parseYaml(text: string): neverthrow.Result<unknown, string> {
   const document = yaml.parseDocument(text);
-  const fault = document.errors[0];
-  if (fault) return neverthrow.err(`document: ${fault.message.split("\n")[0] ?? "not YAML"}`);
-  // Aliases are refused: a few lines of them can expand to gigabytes.
+  const error = document.errors[0];
+  if (error) return neverthrow.err(`document: ${error.message.split("\n")[0] ?? "invalid YAML"}`);
+  // Aliases are rejected: a few lines of them can expand to gigabytes.
   const convert = neverthrow.fromThrowable(
     () => document.toJS({ maxAliasCount: 0 }) as unknown,
-    () => "document: write values out; aliases are not taken",
+    () => "document: YAML aliases are not supported; write the values out",
   );
   return convert();
 }
 
-function crossCheck(document: TeamDocument, team: string): string[] {
-  const faults: string[] = [];
-  if (document.team !== team) faults.push(`team: is '${document.team}' but the path names '${team}'`);
+function checkReferences(document: TeamDocument, team: string): string[] {
+  const errors: string[] = [];
+  if (document.team !== team) errors.push(`team: is '${document.team}' but the path names '${team}'`);
   for (const [name, endpoint] of Object.entries(document.endpoints)) {
     const service = document.services[endpoint.service];
-    if (!service) faults.push(`endpoints.${name}.service: no service '${endpoint.service}' in this document`);
+    if (!service) errors.push(`endpoints.${name}.service: no service '${endpoint.service}' in this document`);
     else if (service.kind === ServiceKind.Plain && endpoint.role !== RoleChoice.Mixed)
-      faults.push(`endpoints.${name}.role: a plain service has no roles; leave it out`);
+      errors.push(`endpoints.${name}.role: a plain service has no roles; leave it out`);
   }
-  return faults;
+  return errors;
 }
 
-function invalid(faults: string[]): common.Problem {
-  return common.problem(common.ProblemKind.InvalidConfiguration, faults.join("; "));
+function invalidConfiguration(errors: string[]): common.Problem {
+  return common.problem(common.ProblemKind.InvalidConfiguration, errors.join("; "));
 }
 
-/** A service's name across teams. */
+/** @returns the service's id, `team/service`, unique over all teams */
 export function serviceId(team: string, service: string): string {
   return `${team}/${service}`;
 }
 
 /**
  * @param service - `team/service`
- * @returns the control shard whose lease holder changes the service's endpoints
+ * @returns the control shard whose lease holder carries out changes of the service's endpoints
  */
 export function controlShardOf(service: string): string {
   return String(common.hash32(service) % constants.CONTROL_SHARDS);
@@ -145,7 +145,7 @@
 export interface ServiceEntry {
   readonly id: string;
   readonly team: string;
-  /** Its control shard, kept as it is asked for with each tick. */
+  /** Its control shard, cached because every tick reads it. */
   readonly shard: string;
   readonly name: string;
   readonly settings: ServiceSettings;
@@ -160,13 +160,13 @@
   readonly settings: EndpointSettings;
 }
 
-/** A team's document as it was accepted. */
+/** A team's document with the revision at which it was accepted. */
 export interface AcceptedDocument {
   readonly document: TeamDocument;
   readonly revision: number;
 }
 
-/** The configuration in force at a daemon: one subtree a team, each with its own revision. */
+/** The configuration in effect at a daemon: one document per team, each with its own revision. */
 export class ConfigurationTree {
   readonly #teams = new Map<string, AcceptedDocument>();
   readonly #services = new Map<string, ServiceEntry>();
@@ -175,14 +175,14 @@
   readonly #teamsByDigest = new Map<string, string>();
 
   /**
-   * Puts an accepted document in force. An older revision than the one in
-   * force is ignored: a late watch event or a paused daemon's push would
-   * otherwise revert an accepted change. Revisions are given by the key-value
-   * service in the order of acceptance, so comparing them is enough.
+   * Applies an accepted document. A revision that is not newer than the one in
+   * effect is ignored: otherwise a late watch event or a paused daemon's push
+   * would revert an accepted change. The key-value service assigns revisions
+   * in the order of acceptance, so comparing them is enough.
    *
-   * @param document - the checked document
+   * @param document - the validated document
    * @param revision - the revision at which it was accepted
-   * @returns whether it changed what is in force
+   * @returns whether the document took effect
    */
   accept(document: TeamDocument, revision: number): boolean {
     const present = this.#teams.get(document.team);
@@ -195,7 +195,7 @@
 
   /**
    * @param team - the team
-   * @returns its document in force
+   * @returns its document in effect
    */
   team(team: string): AcceptedDocument | undefined {
     return this.#teams.get(team);
--- a/packages/core/src/controlEventHandler.ts
+++ b/packages/core/src/controlEventHandler.ts
@@ -13,7 +13,7 @@
 import * as timeline from "./timeline.js";
 import type * as viewFreshness from "./viewFreshness.js";
 
-/** What events of the fleet's control change. */
+/** State that control events change. */
 export interface ControlParts {
   readonly store: controlStore.ControlStore;
   readonly follower: controlFollower.ControlFollower;
@@ -28,17 +28,17 @@
   emit(action: actions.Action): void;
 }
 
-/** Takes the events that are of no single request: of the key-value service, peers, VMs, endpoints' reports, orders. */
+/** Handles the events that belong to no single request: those of the key-value service, peers, VMs, load reports and orders. */
 export class ControlEventHandler {
   readonly #parts: ControlParts;
 
-  /** @param parts - what the events change */
+  /** @param parts - the state that events change */
   constructor(parts: ControlParts) {
     this.#parts = parts;
   }
 
   /**
-   * @param event - what happened; an event of a request has no effect
+   * @param event - the event; events of single requests are ignored
    * @param now - current time
    */
   apply(event: events.CoreEvent, now: number): void {
@@ -53,7 +53,7 @@
         if (event.completeRevision !== undefined) this.#parts.store.markAppliedUpTo(event.completeRevision);
         break;
       case events.EventType.KeyValueHeard:
-        this.#onKeyValueHeard(event.revision, now);
+        this.#onKeyValueResponded(event.revision, now);
         break;
       case events.EventType.KeyValueFailed:
         this.#parts.leaseManager.onFailed();
@@ -73,7 +73,7 @@
         this.#onKeysRead(event.token, event.records, now);
         break;
       case events.EventType.PeerHeard:
-        this.#onPeerHeard(event.report, now);
+        this.#onPeerReported(event.report, now);
         break;
       case events.EventType.VmsListed:
         this.#parts.roster.onVmList(event.vms);
@@ -95,7 +95,7 @@
     }
   }
 
-  #onKeyValueHeard(revision: number, now: number): void {
+  #onKeyValueResponded(revision: number, now: number): void {
     if (this.#parts.freshness.onKeyValueResponded(now)) this.#note(timeline.EventKind.KeyValueBack);
     if (this.#parts.store.appliedRevision > 0) this.#parts.store.markAppliedUpTo(revision);
   }
@@ -118,15 +118,15 @@
     this.#parts.orderManager.onReadBack(name, records !== undefined, now);
   }
 
-  #onPeerHeard(report: membership.PeerReport, now: number): void {
+  #onPeerReported(report: membership.PeerReport, now: number): void {
     const peer = this.#parts.roster.get(report.vm);
     this.#parts.peerView.recordPeerDemand(peer?.report, report, now);
     this.#parts.roster.onHeartbeat(report, now);
     this.#parts.freshness.onPeerReported();
     this.#parts.peerView.updatePeerTotals(now);
-    const behind = report.appliedRevision < this.#parts.store.appliedRevision;
-    if (!peer || report.keyValueReachable || !behind) return;
-    // The peer is cut off from the key-value service: it gets here what the watch would have told it.
+    const isBehind = report.appliedRevision < this.#parts.store.appliedRevision;
+    if (!peer || report.keyValueReachable || !isBehind) return;
+    // The peer can't reach the key-value service, so it is sent the records that it missed.
     this.#parts.emit({
       type: actions.ActionType.PushRecords,
       to: peer.registration,
--- a/packages/core/src/controlFollower.ts
+++ b/packages/core/src/controlFollower.ts
@@ -11,7 +11,7 @@
 import * as servicePool from "./servicePool.js";
 import * as timeline from "./timeline.js";
 
-/** What control records change. */
+/** State that control records change. */
 export interface FollowerContext {
   readonly vm: string;
   readonly random: common.SeededRandom;
@@ -22,22 +22,24 @@
   readonly shards: leases.ShardLeases;
   readonly orders: orderManager.OrderManager;
   readonly pools: Map<string, servicePool.ServicePool>;
-  /** This daemon's own registration has gone. */
+  /** Called when this daemon's own registration was deleted. */
   onUnregistered(): void;
   emit(action: actions.Action): void;
 }
 
-/** Puts control records in force: team documents, members, leases, orders. */
+/** Applies control records: team documents, members, leases and orders. */
 export class ControlFollower {
   readonly #context: FollowerContext;
 
-  /** @param context - what the records change */
+  /** @param context - the state that records change */
   constructor(context: FollowerContext) {
     this.#context = context;
   }
 
   /**
-   * @param records - records that were read, watched or pushed
+   * Applies the records that are newer than the known ones.
+   *
+   * @param records - records that were read, watched or pushed by a peer
    * @param now - current time
    */
   apply(records: readonly keyValue.KeyRecord[], now: number): void {
@@ -64,10 +66,10 @@
     const parsed = configuration.parseTeamDocument(text, team);
     if (parsed.isErr() || !this.#context.tree.accept(parsed.value, record.modRevision)) return;
     this.#note(timeline.EventKind.ConfigurationApplied, { team, version, revision: record.modRevision });
-    this.#followTeam(team);
+    this.#configurePools(team);
   }
 
-  #followTeam(team: string): void {
+  #configurePools(team: string): void {
     for (const service of this.#context.tree.services()) {
       if (service.team !== team) continue;
       const pool =
@@ -102,7 +104,11 @@
     this.#note(timeline.EventKind.LeaseTaken, { shard, holder: vm, epoch: record.createRevision });
   }
 
-  /** @param now - current time; brings roles and states of all endpoints up to date */
+  /**
+   * Updates the roles and states of all endpoints.
+   *
+   * @param now - current time
+   */
   refreshEndpoints(now: number): void {
     for (const pool of this.#context.pools.values()) {
       for (const endpoint of pool.endpoints) {
--- a/packages/core/src/controlKeys.ts
+++ b/packages/core/src/controlKeys.ts
@@ -1,6 +1,6 @@
 import * as constants from "./constants.js";
 
-/** The kinds of control record and their keys. */
+/** The kinds of control record; each value is a segment of the key. */
 export enum ControlKind {
   Team = "teams",
   Member = "members",
@@ -19,7 +19,7 @@
 
 /**
  * @param key - a key
- * @returns its kind and name, or undefined for a key of no known kind
+ * @returns its kind and name, or undefined if the kind is unknown
  */
 export function parseControlKey(key: string): { kind: ControlKind; name: string } | undefined {
   const rest = key.slice(constants.CONTROL_PREFIX.length);
@@ -28,12 +28,12 @@
   return kind && { kind, name: rest.slice(slash + 1) };
 }
 
-/** A team's document with what is known of its acceptance. */
+/** A team's document as it is stored, with its version and author. */
 export interface TeamRecord {
   readonly text: string;
   readonly version: number;
   readonly author: string;
-  /** Names the write, so that its writer knows it again when the reply was lost. */
+  /** Unique id of the write, so that its writer recognizes it after a lost reply. */
   readonly attempt: string;
   readonly acceptedAt: number;
 }
--- a/packages/core/src/controlStore.ts
+++ b/packages/core/src/controlStore.ts
@@ -1,25 +1,25 @@
 import type * as keyValue from "./keyValueTypes.js";
 
-const TOMBSTONES_KEPT = 1000;
+const MAX_TOMBSTONES = 1000;
 
 /**
- * The control records as this daemon last saw them. Each key only moves
- * forward by its revision, whichever way a record came: snapshot, watch or a
- * peer's push. A record that comes late or twice changes nothing.
+ * This daemon's copy of the control records. A record replaces the known one
+ * of its key only if its revision is higher, whether it came from a snapshot,
+ * a watch or a peer's push. Late and repeated records have no effect.
  */
 export class ControlStore {
   readonly #records = new Map<string, keyValue.KeyRecord>();
   readonly #tombstones = new Map<string, number>();
   #appliedRevision = 0;
 
-  /** @returns the revision up to which every change is known */
+  /** @returns the revision up to which every change has been applied */
   get appliedRevision(): number {
     return this.#appliedRevision;
   }
 
   /**
    * @param record - a record that was read or pushed
-   * @returns whether it was news
+   * @returns whether it was newer than the known one
    */
   apply(record: keyValue.KeyRecord): boolean {
     const known = this.#records.get(record.key)?.modRevision ?? this.#tombstones.get(record.key) ?? 0;
@@ -36,21 +36,21 @@
   }
 
   /**
-   * Compares with a snapshot.
+   * Computes the changes that lead to a snapshot.
    *
    * @param records - all control records at that revision
    * @param revision - the snapshot's revision
-   * @returns records that are news, with the keys that are gone marked deleted
+   * @returns the snapshot's records, preceded by deletions of known keys that it doesn't contain
    */
   changesFromSnapshot(records: readonly keyValue.KeyRecord[], revision: number): keyValue.KeyRecord[] {
     const present = new Set(records.map((record) => record.key));
-    const gone = [...this.#records.values()]
+    const missing = [...this.#records.values()]
       .filter((record) => !present.has(record.key) && record.modRevision <= revision)
       .map((record) => ({ ...record, modRevision: revision, deleted: true }));
-    return [...gone, ...records];
+    return [...missing, ...records];
   }
 
-  /** @param revision - every change up to this one has been applied */
+  /** @param revision - revision up to which every change has been applied */
   markAppliedUpTo(revision: number): void {
     this.#appliedRevision = Math.max(this.#appliedRevision, revision);
   }
@@ -64,8 +64,8 @@
   }
 
   /**
-   * @param revision - what the other side has
-   * @returns what changed since, deletions included
+   * @param revision - the revision that the peer has applied
+   * @returns the records changed since then, including deletions
    */
   changesSince(revision: number): keyValue.KeyRecord[] {
     const records = [...this.#records.values()].filter((record) => record.modRevision > revision);
@@ -76,7 +76,7 @@
   }
 
   #trimTombstones(): void {
-    if (this.#tombstones.size <= TOMBSTONES_KEPT) return;
+    if (this.#tombstones.size <= MAX_TOMBSTONES) return;
     const oldest = this.#tombstones.keys().next().value;
     if (oldest !== undefined) this.#tombstones.delete(oldest);
   }
--- a/packages/core/src/drains.ts
+++ b/packages/core/src/drains.ts
@@ -1,28 +1,28 @@
 import type * as membership from "./membership.js";
 
-/** What a drain needs to know besides the roster. */
+/** State of a drain, besides the roster. */
 export interface DrainView {
   readonly endpoint: string;
-  /** Revision of the order record that asks for the drain. */
+  /** Revision of the order record that started the drain. */
   readonly recordRevision: number;
-  /** Requests of this daemon at the endpoint. */
+  /** This daemon's requests at the endpoint. */
   readonly ownInFlight: number;
-  /** Requests that the endpoint itself reported since the drain began, undefined if it hasn't. */
+  /** Requests that the endpoint has reported since the drain began, undefined without a report. */
   readonly reportedRequests: number | undefined;
-  /** Whether the endpoint has to say so itself, as a daemon has vanished lately. */
+  /** Whether the endpoint's own report is required, because a daemon was lost recently. */
   readonly needsEndpointReport: boolean;
 }
 
 /**
- * What a drained endpoint still waits for. A change goes ahead only when this is
- * empty: every daemon has seen the drain and has nothing there, and where a
- * daemon can't be asked any more, its VM is gone and the endpoint itself reports
- * that nothing runs. A daemon that is merely silent blocks the change, since it
- * may be paused in the middle of an answer.
+ * Lists what a draining endpoint still waits for. The change proceeds only when
+ * the list is empty: every daemon has acknowledged the drain and has no request
+ * there, and for a lost daemon, its VM is gone and the endpoint itself reports
+ * no requests. A daemon that is only unreachable blocks the change, since it
+ * may be paused while it relays an answer.
  *
- * @param view - the drain
+ * @param view - state of the drain
  * @param roster - the daemons
- * @returns the reasons to wait, in words for the operator
+ * @returns the reasons to wait, as text for the operator
  */
 export function drainBlockers(view: DrainView, roster: membership.Roster): string[] {
   const blockers: string[] = [];
@@ -31,7 +31,7 @@
     const blocker = peerBlocker(view, peer, roster);
     if (blocker) blockers.push(blocker);
   }
-  for (const vm of roster.lostVms()) blockers.push(`daemon on ${vm} vanished and its VM is still listed`);
+  for (const vm of roster.lostVms()) blockers.push(`daemon on ${vm} was lost and its VM is still listed`);
   if (!view.needsEndpointReport) return blockers;
   if (view.reportedRequests === undefined) blockers.push("no load report from the endpoint since the drain began");
   else if (view.reportedRequests > 0) blockers.push(`the endpoint reports ${view.reportedRequests} requests`);
--- a/packages/core/src/keyValueTypes.ts
+++ b/packages/core/src/keyValueTypes.ts
@@ -1,12 +1,12 @@
-/** What the core asks of the key-value service, and what it gets back. */
+/** Requests of the core to the key-value service, and their results. */
 
-/** Which revision of a key a condition is about. */
+/** Which revision of a key a condition compares. */
 export enum RevisionKind {
   Created = "CREATE",
   Modified = "MOD",
 }
 
-/** A condition: the key has this revision; 0 means that it does not exist. */
+/** A condition of a transaction: the key has this revision; 0 means that it doesn't exist. */
 export interface KeyCondition {
   readonly key: string;
   readonly kind: RevisionKind;
@@ -17,11 +17,11 @@
 export interface KeyPut {
   readonly key: string;
   readonly value: string;
-  /** Whether it ends with the daemon's lease. */
+  /** Whether the key is deleted when the daemon's lease ends. */
   readonly leased?: boolean;
 }
 
-/** A transaction of compare-and-swap. */
+/** A compare-and-swap transaction: the writes apply only if all conditions hold. */
 export interface Transaction {
   readonly conditions: readonly KeyCondition[];
   readonly puts: readonly KeyPut[];
@@ -29,7 +29,7 @@
   readonly deletes?: readonly { readonly key: string; readonly rangeEnd?: string }[];
 }
 
-/** A key as it was read. */
+/** A key with its value and revisions, as read. */
 export interface KeyRecord {
   readonly key: string;
   readonly value: string;
@@ -39,15 +39,15 @@
   readonly deleted?: boolean;
 }
 
-/** How a transaction ended. */
+/** Outcome of a transaction. */
 export enum TransactionOutcome {
-  /** The conditions held and the writes took effect. */
+  /** The conditions held and the writes were applied. */
   Applied = "applied",
   /** A condition did not hold; nothing was written. */
   Refused = "refused",
-  /** It never reached the service; nothing was written. */
+  /** The transaction never reached the service; nothing was written. */
   NotSent = "not-sent",
-  /** The reply was lost: it may have taken effect. Reading back settles it. */
+  /** The reply was lost: the writes may have been applied. Reading the keys back shows which. */
   Unknown = "unknown",
 }
 
@@ -59,7 +59,7 @@
 
 /**
  * @param prefix - a prefix of keys
- * @returns the end of its range, not included
+ * @returns the exclusive end of the range of keys with that prefix
  */
 export function prefixEnd(prefix: string): string {
   const last = prefix.charCodeAt(prefix.length - 1);
--- a/packages/core/src/leaseManager.ts
+++ b/packages/core/src/leaseManager.ts
@@ -6,37 +6,37 @@
 import * as leases from "./leases.js";
 import type * as membership from "./membership.js";
 
-/** What the desk asks of its surroundings. */
+/** Dependencies of {@link LeaseManager}. */
 export interface LeaseContext {
   readonly random: common.SeededRandom;
   readonly shards: leases.ShardLeases;
-  /** The shards that have any service. */
+  /** The control shards that have at least one service. */
   wantedShards(): Set<string>;
   servingMembers(): membership.Registration[];
   emit(action: actions.Action): void;
 }
 
-/** Keeps the daemon's lease, its registration under it, and the shards that fall to it. */
+/** Maintains the daemon's lease, its registration under that lease, and the control shards assigned to it. */
 export class LeaseManager {
   readonly #context: LeaseContext;
   readonly #lease = new leases.OwnLease();
-  readonly #takingShards = new Set<string>();
+  readonly #acquiringShards = new Set<string>();
   #registration: membership.Registration;
-  #registeredUnder = "";
-  #registering = false;
-  #renewing = false;
+  #lastRegistered = "";
+  #isRegistering = false;
+  #isRenewing = false;
   #nextRenewalAt = 0;
 
   /**
-   * @param registration - of this daemon
-   * @param context - the daemon round the desk
+   * @param registration - this daemon's registration
+   * @param context - dependencies
    */
   constructor(registration: membership.Registration, context: LeaseContext) {
     this.#registration = registration;
     this.#context = context;
   }
 
-  /** @returns this daemon's registration as it should stand */
+  /** @returns this daemon's intended registration, which may not be written yet */
   get registration(): membership.Registration {
     return this.#registration;
   }
@@ -48,7 +48,7 @@
 
   /**
    * @param now - current time
-   * @returns whether orders may be given under the lease
+   * @returns whether orders may be sent under the lease
    */
   isValid(now: number): boolean {
     return this.#lease.isValid(now);
@@ -64,82 +64,94 @@
     return pausedMs;
   }
 
-  /** @param now - current time; renews the lease if that is due */
+  /**
+   * Renews the lease if a renewal is due.
+   *
+   * @param now - current time
+   */
   renew(now: number): void {
-    if (this.#renewing || now < this.#nextRenewalAt || this.#registration.stopped) return;
-    this.#renewing = true;
-    // Jitter keeps daemons that lost the service together from returning together.
+    if (this.#isRenewing || now < this.#nextRenewalAt || this.#registration.stopped) return;
+    this.#isRenewing = true;
+    // Jitter prevents daemons that lost the service at the same time from all renewing at the same time.
     this.#nextRenewalAt = now + constants.LEASE_RENEWAL_INTERVAL_MS * (0.9 + 0.2 * this.#context.random.next());
     const lease = this.#lease.id;
     this.#context.emit({ type: actions.ActionType.RenewLease, ...(lease === undefined ? {} : { lease }) });
   }
 
   /**
-   * @param lease - lease that was granted or renewed
+   * @param lease - id of the lease that was granted or renewed
    * @param sentAt - time before the call was sent
    * @param ttlMs - time to live
    */
   onRenewed(lease: string, sentAt: number, ttlMs: number): void {
-    this.#renewing = false;
+    this.#isRenewing = false;
     this.#lease.onRenewed(lease, sentAt, ttlMs);
     this.#register();
   }
 
-  /** A call to the service failed; the next renewal is tried at its time. */
+  /** A call to the key-value service failed; the next renewal is sent on schedule. */
   onFailed(): void {
-    this.#renewing = false;
+    this.#isRenewing = false;
   }
 
-  /** @param now - current time; the service says that the lease has ended */
+  /**
+   * The key-value service reported that the lease has ended.
+   *
+   * @param now - current time
+   */
   onLost(now: number): void {
-    this.#renewing = false;
+    this.#isRenewing = false;
     this.#nextRenewalAt = now;
     this.#lease.onLost();
   }
 
-  /** The registration has gone from the service: it is written again. */
+  /** The registration was deleted from the key-value service; it is written again. */
   onUnregistered(): void {
-    this.#registeredUnder = "";
+    this.#lastRegistered = "";
   }
 
-  /** @param outcome - how the write of the registration ended */
+  /** @param outcome - outcome of the write of the registration */
   onRegistered(outcome: keyValue.TransactionOutcome): void {
-    this.#registering = false;
+    this.#isRegistering = false;
     if (outcome === keyValue.TransactionOutcome.Applied) this.#register();
-    else this.#registeredUnder = "";
+    else this.#lastRegistered = "";
   }
 
-  /** @param shard - the write that was to take it has ended */
+  /** @param shard - the shard whose lease write has ended */
   onShardWritten(shard: string): void {
-    this.#takingShards.delete(shard);
+    this.#acquiringShards.delete(shard);
   }
 
-  /** The daemon leaves: callers are sent elsewhere. */
+  /** Registers the daemon as leaving, so that callers are given other daemons. */
   markLeaving(): void {
     this.#registration = { ...this.#registration, leaving: true };
     this.#register();
   }
 
-  /** Nothing runs here any more. */
+  /** Registers the daemon as stopped: it has no requests any more. */
   markStopped(): void {
     this.#registration = { ...this.#registration, stopped: true };
-    this.#registering = false;
+    this.#isRegistering = false;
     this.#register();
   }
 
-  /** @param now - current time; takes the free shards for which this daemon is the preferred one */
+  /**
+   * Acquires the free shards for which this daemon is the preferred one.
+   *
+   * @param now - current time
+   */
   takeShards(now: number): void {
     if (!this.#lease.isValid(now) || this.#registration.leaving) return;
     const candidates = this.#context.servingMembers().map((member) => member.vm);
     for (const shard of this.#context.wantedShards()) {
-      if (this.#context.shards.get(shard) || this.#takingShards.has(shard)) continue;
+      if (this.#context.shards.get(shard) || this.#acquiringShards.has(shard)) continue;
       const [preferred] = common.rendezvousOrder(`shard/${shard}`, candidates);
-      if (preferred === this.#registration.vm) this.#take(shard);
+      if (preferred === this.#registration.vm) this.#acquire(shard);
     }
   }
 
-  #take(shard: string): void {
-    this.#takingShards.add(shard);
+  #acquire(shard: string): void {
+    this.#acquiringShards.add(shard);
     const key = controlKeys.controlKey(controlKeys.ControlKind.Lease, shard);
     const { vm, incarnation } = this.#registration;
     const value: leases.LeaseValue = { vm, incarnation };
@@ -151,10 +163,10 @@
 
   #register(): void {
     const value = JSON.stringify(this.#registration);
-    const under = `${this.#lease.id ?? ""}/${value}`;
-    if (this.#registering || this.#registeredUnder === under) return;
-    this.#registering = true;
-    this.#registeredUnder = under;
+    const leaseAndValue = `${this.#lease.id ?? ""}/${value}`;
+    if (this.#isRegistering || this.#lastRegistered === leaseAndValue) return;
+    this.#isRegistering = true;
+    this.#lastRegistered = leaseAndValue;
     const key = controlKeys.controlKey(controlKeys.ControlKind.Member, this.#registration.vm);
     this.#transact("register", { conditions: [], puts: [{ key, value, leased: true }] });
   }
--- a/packages/core/src/membership.ts
+++ b/packages/core/src/membership.ts
@@ -2,7 +2,7 @@
 import * as constants from "./constants.js";
 import type * as engineCosts from "./engineCosts.js";
 
-/** What a daemon writes about itself. */
+/** A daemon's registration in the key-value service. */
 export interface Registration {
   readonly vm: string;
   readonly dataCentre: string;
@@ -11,18 +11,18 @@
   readonly peerUrl: string;
   readonly adminUrl: string;
   readonly leaving: boolean;
-  /** Set just before a planned exit, when nothing runs any more. */
+  /** Set at the end of a graceful shutdown, when no requests run any more. */
   readonly stopped?: boolean;
 }
 
-/** What the list of VMs says of one. */
+/** State of a VM in the platform's list of VMs. */
 export enum VmState {
   Live = "live",
   Leaving = "leaving",
   Gone = "gone",
 }
 
-/** What a peer said in its last heartbeat. */
+/** Content of a peer's heartbeat. */
 export interface PeerReport {
   readonly vm: string;
   readonly incarnation: string;
@@ -33,7 +33,7 @@
   readonly services: readonly ServiceShare[];
 }
 
-/** How much of one endpoint a daemon uses. */
+/** A daemon's requests at one endpoint. */
 export interface EndpointShare {
   readonly endpoint: string;
   readonly inFlight: number;
@@ -43,18 +43,18 @@
   readonly recordRevision: number;
 }
 
-/** One service's work at a daemon. */
+/** Load of one service at a daemon. */
 export interface ServiceShare {
   readonly service: string;
-  /** What waits in its queue. */
+  /** Work waiting in its queue. */
   readonly waiting: admission.WaitingWork;
-  /** What has arrived since it started; the receiver takes differences. */
+  /** Demand that has arrived since the daemon started; the receiver computes differences. */
   readonly arrived: engineCosts.Demand;
-  /** Requests that have arrived since it started. */
+  /** Requests that have arrived since the daemon started. */
   readonly requests: number;
 }
 
-/** A daemon as this one knows it. */
+/** What this daemon knows of another daemon. */
 export interface Member {
   registration: Registration;
   registered: boolean;
@@ -63,17 +63,18 @@
 }
 
 /**
- * The daemons: registrations from the key-value service, heartbeats from the
- * daemons themselves, and the platform's list of VMs as a late third witness.
+ * The known daemons, from three sources: registrations in the key-value
+ * service, heartbeats of the daemons, and the platform's list of VMs, which is
+ * the slowest to change.
  */
 export class Roster {
   readonly #self: string;
   readonly #members = new Map<string, Member>();
-  readonly #suspects = new Set<string>();
-  #lastVanishedAt = Number.NEGATIVE_INFINITY;
+  readonly #lostVms = new Set<string>();
+  #lastLossAt = Number.NEGATIVE_INFINITY;
   #vmStates = new Map<string, VmState>();
 
-  /** @param self - this daemon's VM, which is never listed as a peer */
+  /** @param self - this daemon's VM, which is never returned as a peer */
   constructor(self: string) {
     this.#self = self;
   }
@@ -81,15 +82,15 @@
   /**
    * @param registration - a registration that was read
    * @param now - current time
-   * @returns whether the daemon is new here, or a new incarnation
+   * @returns whether the daemon is new or a new incarnation
    */
   onRegistered(registration: Registration, now: number): boolean {
-    // A new process, or the same one back from a pause: either way it answers for itself again.
-    this.#suspects.delete(registration.vm);
+    // A new process, or the same one after a pause; in both cases it reports its own requests again.
+    this.#lostVms.delete(registration.vm);
     const present = this.#members.get(registration.vm);
-    const fresh = present?.registration.incarnation !== registration.incarnation;
-    if (present && fresh && !present.registration.stopped) this.#lastVanishedAt = now;
-    if (present && !fresh) {
+    const isNew = present?.registration.incarnation !== registration.incarnation;
+    if (present && isNew && !present.registration.stopped) this.#lastLossAt = now;
+    if (present && !isNew) {
       present.registration = registration;
       present.registered = true;
       return false;
@@ -99,8 +100,8 @@
   }
 
   /**
-   * The registration ended. The member stays while it is heard: when the
-   * service loses all leases at once, the daemons are still there.
+   * The registration ended. The member is kept while its heartbeats arrive:
+   * when the key-value service loses all leases at once, the daemons still run.
    *
    * @param vm - the VM
    */
@@ -110,7 +111,7 @@
   }
 
   /**
-   * @param report - a heartbeat
+   * @param report - content of the heartbeat
    * @param now - current time
    */
   onHeartbeat(report: PeerReport, now: number): void {
@@ -120,26 +121,26 @@
     member.report = report;
   }
 
-  /** @param states - the list of VMs */
+  /** @param states - state of each VM in the platform's list */
   onVmList(states: ReadonlyMap<string, VmState>): void {
     this.#vmStates = new Map(states);
   }
 
   /**
-   * Drops members that are neither registered nor heard.
+   * Removes members that are neither registered nor sending heartbeats.
    *
    * @param now - current time
-   * @returns the VMs dropped
+   * @returns the VMs of the removed members
    */
   expire(now: number): string[] {
-    const dropped: string[] = [];
+    const removed: string[] = [];
     for (const [vm, member] of this.#members) {
-      if (member.registered || this.#isHeard(member, now)) continue;
+      if (member.registered || this.#isAlive(member, now)) continue;
       this.#members.delete(vm);
-      if (!member.registration.stopped) this.#onVanished(member, now);
-      dropped.push(vm);
+      if (!member.registration.stopped) this.#onLost(member, now);
+      removed.push(vm);
     }
-    return dropped;
+    return removed;
   }
 
   /**
@@ -157,59 +158,59 @@
 
   /**
    * @param now - current time
-   * @returns the other daemons that were heard within the silence limit
+   * @returns the other daemons whose last heartbeat is within the peer timeout
    */
   livePeers(now: number): Member[] {
-    return this.peers().filter((member) => this.#isHeard(member, now));
+    return this.peers().filter((member) => this.#isAlive(member, now));
   }
 
   /**
    * @param vm - the VM
-   * @returns whether the platform says that it is gone
+   * @returns whether the platform lists it as gone
    */
   isGone(vm: string): boolean {
     return this.#vmStates.get(vm) === VmState.Gone;
   }
 
   /**
-   * Daemons that vanished without a planned stop. One may be paused or cut off
-   * and still have requests at endpoints, so planned changes wait until the
-   * platform lists its VM as gone or a new process runs there.
+   * Daemons that were lost without a graceful shutdown. Such a daemon may be
+   * paused or isolated and still have requests at endpoints, so planned changes
+   * wait until the platform lists its VM as gone or a daemon registers there.
    *
    * @returns their VMs
    */
   lostVms(): string[] {
-    return [...this.#suspects].filter((vm) => !this.isGone(vm));
+    return [...this.#lostVms].filter((vm) => !this.isGone(vm));
   }
 
   /**
    * @param vm - the VM
    * @param now - current time
-   * @returns whether it may be given to callers
+   * @returns whether callers may be sent to its daemon
    */
   isServing(vm: string, now: number): boolean {
     const member = this.#members.get(vm);
     if (!member || member.registration.leaving || member.report?.leaving) return false;
-    const listed = this.#vmStates.get(vm);
-    if (listed === VmState.Leaving || listed === VmState.Gone) return false;
-    return this.#isHeard(member, now);
+    const vmState = this.#vmStates.get(vm);
+    if (vmState === VmState.Leaving || vmState === VmState.Gone) return false;
+    return this.#isAlive(member, now);
   }
 
   /**
    * @param now - current time
-   * @returns whether a daemon ended without a planned stop so lately that its
-   * requests may still run at the endpoints
+   * @returns whether a daemon was lost, or replaced without a graceful shutdown,
+   * so recently that its requests may still run at the endpoints
    */
   hasRecentLoss(now: number): boolean {
-    return now - this.#lastVanishedAt < constants.ORPHANED_REQUEST_MS;
+    return now - this.#lastLossAt < constants.ORPHANED_REQUEST_MS;
   }
 
-  #onVanished(member: Member, now: number): void {
-    this.#suspects.add(member.registration.vm);
-    this.#lastVanishedAt = now;
+  #onLost(member: Member, now: number): void {
+    this.#lostVms.add(member.registration.vm);
+    this.#lastLossAt = now;
   }
 
-  #isHeard(member: Member, now: number): boolean {
+  #isAlive(member: Member, now: number): boolean {
     return now - member.lastSeenAt < constants.PEER_TIMEOUT_MS;
   }
 }
--- a/packages/core/src/orderContext.ts
+++ b/packages/core/src/orderContext.ts
@@ -7,19 +7,19 @@
 import type * as orders from "./orders.js";
 import type * as servicePool from "./servicePool.js";
 
-/** An order record with its revision. */
+/** An order record with the revision at which it was written. */
 export interface KnownOrder {
   readonly record: orders.OrderRecord;
   readonly revision: number;
 }
 
-/** What an endpoint last reported, and when. */
+/** An endpoint's last load report and when it was received. */
 export interface ReceivedLoadReport {
   readonly report: events.LoadReport;
   readonly receivedAt: number;
 }
 
-/** What the desk asks of its surroundings. */
+/** Dependencies of the order manager and its parts. */
 export interface OrderContext {
   readonly vm: string;
   readonly incarnation: string;
--- a/packages/core/src/orderTable.ts
+++ b/packages/core/src/orderTable.ts
@@ -5,11 +5,11 @@
 import * as orders from "./orders.js";
 import * as timeline from "./timeline.js";
 
-/** How far a planned change of one endpoint has come in this process. */
+/** This process's state of a planned change of one endpoint. */
 export interface EndpointChangeProgress {
-  /** Set while a phase is being written, until the write's outcome is known. */
+  /** True while a phase is being written, until the write's outcome is known. */
   writing: boolean;
-  /** Set while an order is out: its number. */
+  /** Number of the order that was sent and not yet answered, if any. */
   sending?: number;
   retryAt: number;
   drainSeenAt: number;
@@ -18,45 +18,45 @@
   waitReason: string;
 }
 
-/** The endpoints' latest orders, and what is known here of their changes. */
+/** The endpoints' latest orders, and this process's progress in carrying them out. */
 export class OrderTable {
   readonly #context: orderContext.OrderContext;
   readonly #orders = new Map<string, orderContext.KnownOrder>();
-  readonly #work = new Map<string, EndpointChangeProgress>();
+  readonly #progress = new Map<string, EndpointChangeProgress>();
 
-  /** @param context - the daemon round the desk */
+  /** @param context - dependencies */
   constructor(context: orderContext.OrderContext) {
     this.#context = context;
   }
 
   /**
    * @param endpoint - `team/endpoint`
-   * @returns its latest order
+   * @returns its latest order, if any
    */
   orderOf(endpoint: string): orderContext.KnownOrder | undefined {
     return this.#orders.get(endpoint);
   }
 
-  /** @returns the latest order of every endpoint that ever had one */
+  /** @returns the latest order of every endpoint that has had one */
   all(): orderContext.KnownOrder[] {
     return [...this.#orders.values()];
   }
 
-  /** @param order - an endpoint's order, newer than the one known */
+  /** @param order - an endpoint's order, newer than the known one */
   update(order: orderContext.KnownOrder): void {
     this.#orders.set(order.record.endpoint, order);
   }
 
-  /** @returns endpoints whose change waits, with the reasons */
+  /** @returns the endpoints whose change is waiting, each with the reasons */
   waiting(): Map<string, string> {
-    const waits = [...this.#work].filter(([, work]) => work.waitReason !== "");
-    return new Map(waits.map(([endpoint, work]) => [endpoint, work.waitReason]));
+    const waiting = [...this.#progress].filter(([, progress]) => progress.waitReason !== "");
+    return new Map(waiting.map(([endpoint, progress]) => [endpoint, progress.waitReason]));
   }
 
   /**
-   * @param endpoint - `team/endpoint`
+   * @param endpoint - the endpoint
    * @param now - current time
-   * @returns the role that it has as far as is known
+   * @returns its role, as far as known: from an unfinished order, a recent load report, the last order or the configuration
    */
   roleOf(endpoint: configuration.EndpointEntry, now: number): configuration.EndpointRole {
     const order = this.#orders.get(endpoint.id)?.record;
@@ -72,7 +72,7 @@
 
   /**
    * @param endpoint - `team/endpoint`
-   * @returns whether its latest order lets it take new work
+   * @returns whether it may be given new requests: it has no order, or its latest one is settled
    */
   acceptsWork(endpoint: string): boolean {
     const order = this.#orders.get(endpoint)?.record;
@@ -80,39 +80,41 @@
   }
 
   /**
+   * Sets why an endpoint's change waits, and adds a new reason to the timeline.
+   *
    * @param endpoint - `team/endpoint`
-   * @param waitsFor - what its change waits for, empty if for nothing; a new reason is noted
+   * @param reason - the reason, empty if the change doesn't wait
    */
-  setWaitReason(endpoint: string, waitsFor: string): void {
-    const work = this.progressOf(endpoint);
-    if (work.waitReason === waitsFor) return;
-    work.waitReason = waitsFor;
-    if (waitsFor === "") return;
+  setWaitReason(endpoint: string, reason: string): void {
+    const progress = this.progressOf(endpoint);
+    if (progress.waitReason === reason) return;
+    progress.waitReason = reason;
+    if (reason === "") return;
     this.#context.emit({
       type: actions.ActionType.Note,
-      note: { kind: timeline.EventKind.OrderWaits, fields: { endpoint, waitsFor } },
+      note: { kind: timeline.EventKind.OrderWaits, fields: { endpoint, waitsFor: reason } },
     });
   }
 
   /**
    * @param endpoint - `team/endpoint`
-   * @returns what is known here of its change
+   * @returns this process's progress in its change
    */
   progressOf(endpoint: string): EndpointChangeProgress {
-    const present = this.#work.get(endpoint);
+    const present = this.#progress.get(endpoint);
     if (present) return present;
-    const fresh: EndpointChangeProgress = {
+    const created: EndpointChangeProgress = {
       writing: false,
       retryAt: 0,
       drainSeenAt: 0,
       settledAt: Number.NEGATIVE_INFINITY,
       waitReason: "",
     };
-    this.#work.set(endpoint, fresh);
-    return fresh;
+    this.#progress.set(endpoint, created);
+    return created;
   }
 
-  /** A report that arrives soon after an order may still tell the role before it. */
+  /** Returns the role of a recent report, unless the report came so soon after an order that it may predate the order. */
   #reportedRole(endpoint: string, now: number): configuration.EndpointRole | undefined {
     const load = this.#context.loadOf(endpoint);
     if (!load || now - load.receivedAt > constants.VIEW_MAX_AGE_MS) return undefined;
--- a/packages/core/src/orderWriter.ts
+++ b/packages/core/src/orderWriter.ts
@@ -7,30 +7,32 @@
 import type * as orderContext from "./orderContext.js";
 import * as orders from "./orders.js";
 
-/** Writes orders' records, each under the condition that the lease still stands. */
+/** Writes order records, each on the condition that the shard's lease is still held. */
 export class OrderWriter {
   readonly #context: orderContext.OrderContext;
-  readonly #book: orderTable.OrderTable;
+  readonly #table: orderTable.OrderTable;
 
   /**
-   * @param context - the daemon round the desk
-   * @param book - the orders that are known
+   * @param context - dependencies
+   * @param table - the known orders
    */
-  constructor(context: orderContext.OrderContext, book: orderTable.OrderTable) {
+  constructor(context: orderContext.OrderContext, table: orderTable.OrderTable) {
     this.#context = context;
-    this.#book = book;
+    this.#table = table;
   }
 
   /**
-   * @param change - the change that begins
-   * @param epoch - the epoch of the shard's lease
+   * Begins a change by writing its draining record.
+   *
+   * @param change - the change to begin
+   * @param epoch - epoch of the shard's lease
    * @param now - current time
    */
   begin(change: changeChooser.WantedChange, epoch: number, now: number): void {
     const { endpoint, fromRole, targetRole, reason } = change;
-    const work = this.#book.progressOf(endpoint.id);
-    if (work.writing || now < work.retryAt) return;
-    const known = this.#book.orderOf(endpoint.id);
+    const progress = this.#table.progressOf(endpoint.id);
+    if (progress.writing || now < progress.retryAt) return;
+    const known = this.#table.orderOf(endpoint.id);
     const number = (known?.record.number ?? 0) + 1;
     const { vm, incarnation } = this.#context;
     const attempt = this.#context.random.identifier();
@@ -51,8 +53,10 @@
   }
 
   /**
-   * @param known - an order
-   * @param change - what is new in its record
+   * Updates an order's record.
+   *
+   * @param known - the order
+   * @param change - the fields to change
    */
   rewrite(known: orderContext.KnownOrder, change: Partial<orders.OrderRecord>): void {
     const { vm, incarnation } = this.#context;
@@ -61,15 +65,15 @@
   }
 
   /**
-   * The write names both the record's revision and the lease's: a holder whose
-   * lease has ended can neither begin nor advance a change, however late its
-   * write arrives.
+   * The write is conditional on the record's revision and on the lease's epoch,
+   * so that a holder whose lease has ended can neither begin nor advance a
+   * change, however late its write arrives.
    */
   #write(record: orders.OrderRecord, revision: number): void {
     const key = controlKeys.controlKey(controlKeys.ControlKind.Order, record.endpoint);
     const service = this.#context.tree.endpoint(record.endpoint)?.serviceId ?? "";
     const leaseKey = controlKeys.controlKey(controlKeys.ControlKind.Lease, configuration.controlShardOf(service));
-    this.#book.progressOf(record.endpoint).writing = true;
+    this.#table.progressOf(record.endpoint).writing = true;
     this.#context.emit({
       type: actions.ActionType.Transact,
       token: `order:${record.endpoint}`,
--- a/packages/core/src/peerView.ts
+++ b/packages/core/src/peerView.ts
@@ -4,25 +4,25 @@
 import type * as orderManager from "./orderManager.js";
 import type * as servicePool from "./servicePool.js";
 
-interface EndpointUse {
+interface EndpointLoad {
   readonly inFlight: number;
   readonly prefillTokens: number;
   readonly streams: number;
 }
 
-const NO_USE: EndpointUse = { inFlight: 0, prefillTokens: 0, streams: 0 };
-const NOTHING_WAITS: admission.WaitingWork = { tokens: 0, requests: 0 };
+const NO_LOAD: EndpointLoad = { inFlight: 0, prefillTokens: 0, streams: 0 };
+const NO_WAITING_WORK: admission.WaitingWork = { tokens: 0, requests: 0 };
 
-/** What daemons tell one another of their requests, and what is made of it. */
+/** Builds the load part of this daemon's heartbeats and applies the load that peers report. */
 export class PeerView {
   readonly #pools: ReadonlyMap<string, servicePool.ServicePool>;
   readonly #roster: membership.Roster;
   readonly #orders: orderManager.OrderManager;
 
   /**
-   * @param pools - the services at this daemon
+   * @param pools - the service pools of this daemon
    * @param roster - the daemons
-   * @param orders - the planned changes
+   * @param orders - the manager of planned changes
    */
   constructor(
     pools: ReadonlyMap<string, servicePool.ServicePool>,
@@ -36,16 +36,17 @@
 
   /**
    * @param now - current time
-   * @returns how much of each endpoint this daemon uses; endpoints under change are
-   * always named, as this is the acknowledgement that the change waits for
+   * @returns this daemon's requests at each endpoint; endpoints with an unfinished
+   * change are always included, as this is the acknowledgement that the change
+   * waits for
    */
   endpointShares(now: number): membership.EndpointShare[] {
     const shares: membership.EndpointShare[] = [];
     for (const pool of this.#pools.values()) {
       for (const endpoint of pool.endpoints) {
         const order = this.#orders.orderOf(endpoint.id);
-        const changing = order !== undefined && !this.#orders.acceptsWork(endpoint.id);
-        if (endpoint.inFlight === 0 && !changing) continue;
+        const isChanging = order !== undefined && !this.#orders.acceptsWork(endpoint.id);
+        if (endpoint.inFlight === 0 && !isChanging) continue;
         shares.push({
           endpoint: endpoint.id,
           inFlight: endpoint.inFlight,
@@ -58,7 +59,7 @@
     return shares;
   }
 
-  /** @returns what waits here and what has arrived, of each service that had requests */
+  /** @returns the waiting work and the demand of each service that has had requests */
   serviceShares(): membership.ServiceShare[] {
     return [...this.#pools]
       .filter(([, pool]) => pool.requests > 0)
@@ -71,46 +72,50 @@
   }
 
   /**
-   * The planner of whichever daemon holds the lease has to know what arrives at all of them.
+   * Adds a peer's new demand to the planners: the daemon that holds the lease plans for the demand at all daemons.
    *
-   * @param before - the peer's report before
-   * @param report - its report now
+   * @param previous - the peer's previous report
+   * @param report - its current report
    * @param now - current time
    */
-  recordPeerDemand(before: membership.PeerReport | undefined, report: membership.PeerReport, now: number): void {
-    if (before?.incarnation !== report.incarnation) return;
-    const known = new Map(before.services.map((share) => [share.service, share]));
+  recordPeerDemand(previous: membership.PeerReport | undefined, report: membership.PeerReport, now: number): void {
+    if (previous?.incarnation !== report.incarnation) return;
+    const previousShares = new Map(previous.services.map((share) => [share.service, share]));
     for (const share of report.services) {
-      const earlier = known.get(share.service);
-      const requests = share.requests - (earlier?.requests ?? 0);
+      const previousShare = previousShares.get(share.service);
+      const requests = share.requests - (previousShare?.requests ?? 0);
       if (requests <= 0) continue;
-      const demand = engineCosts.differenceOf(share.arrived, earlier?.arrived ?? engineCosts.NO_DEMAND);
+      const demand = engineCosts.differenceOf(share.arrived, previousShare?.arrived ?? engineCosts.NO_DEMAND);
       this.#pools.get(share.service)?.planner.onRequests(demand, requests, now);
     }
   }
 
-  /** @param now - current time; tells the pools what all peers have and what waits there */
+  /**
+   * Updates the pools with the total requests and waiting work of all peers.
+   *
+   * @param now - current time
+   */
   updatePeerTotals(now: number): void {
-    const uses = new Map<string, EndpointUse>();
-    const queues = new Map<string, admission.WaitingWork>();
-    const serving = new Map<string, number>();
+    const loads = new Map<string, EndpointLoad>();
+    const waitingByService = new Map<string, admission.WaitingWork>();
+    const daemonsByService = new Map<string, number>();
     for (const peer of this.#roster.livePeers(now)) {
       for (const share of peer.report?.shares ?? []) {
-        uses.set(share.endpoint, sumOfUse(uses.get(share.endpoint) ?? NO_USE, share));
+        loads.set(share.endpoint, addLoads(loads.get(share.endpoint) ?? NO_LOAD, share));
       }
       for (const { service, waiting } of peer.report?.services ?? []) {
-        queues.set(service, sumOfWork(queues.get(service) ?? NOTHING_WAITS, waiting));
-        serving.set(service, (serving.get(service) ?? 0) + 1);
+        waitingByService.set(service, addWaitingWork(waitingByService.get(service) ?? NO_WAITING_WORK, waiting));
+        daemonsByService.set(service, (daemonsByService.get(service) ?? 0) + 1);
       }
     }
     for (const [id, pool] of this.#pools) {
-      pool.onPeerQueues(queues.get(id) ?? NOTHING_WAITS, serving.get(id) ?? 0);
-      for (const endpoint of pool.endpoints) endpoint.onPeerUse(uses.get(endpoint.id) ?? NO_USE, now);
+      pool.onPeerQueues(waitingByService.get(id) ?? NO_WAITING_WORK, daemonsByService.get(id) ?? 0);
+      for (const endpoint of pool.endpoints) endpoint.onPeerUse(loads.get(endpoint.id) ?? NO_LOAD, now);
     }
   }
 }
 
-function sumOfUse(left: EndpointUse, right: EndpointUse): EndpointUse {
+function addLoads(left: EndpointLoad, right: EndpointLoad): EndpointLoad {
   return {
     inFlight: left.inFlight + right.inFlight,
     prefillTokens: left.prefillTokens + right.prefillTokens,
@@ -118,6 +123,6 @@
   };
 }
 
-function sumOfWork(left: admission.WaitingWork, right: admission.WaitingWork): admission.WaitingWork {
+function addWaitingWork(left: admission.WaitingWork, right: admission.WaitingWork): admission.WaitingWork {
   return { tokens: left.tokens + right.tokens, requests: left.requests + right.requests };
 }
--- a/packages/core/src/rolePlanner.ts
+++ b/packages/core/src/rolePlanner.ts
@@ -1,47 +1,47 @@
 import * as configuration from "./configuration.js";
 import * as engineCosts from "./engineCosts.js";
 
-/** How many engines of a service have each role. */
+/** Number of a service's engines with each role. */
 export interface RoleCounts {
   readonly prefill: number;
   readonly decode: number;
   readonly mixed: number;
 }
 
-/** An engine that the planner may change. */
+/** An engine as the planner sees it. */
 export interface PlannedEndpoint {
   readonly id: string;
   readonly role: configuration.EndpointRole;
-  /** Work that must be finished before it can change, in requests. */
+  /** Requests that must finish before its role can change. */
   readonly inFlight: number;
-  /** False for engines whose role the operator has fixed. */
+  /** Whether the planner may change its role; false if the operator has set it. */
   readonly changeable: boolean;
 }
 
-/** A change that is worth its cost. */
+/** A role change whose gain exceeds its cost. */
 export interface PlannedRoleChange {
   readonly endpoint: string;
   readonly role: configuration.EndpointRole;
-  /** Answers in time gained over the horizon, less those lost meanwhile. */
+  /** Requests answered in time gained over the horizon, minus those lost during the change and the service's weight. */
   readonly gain: number;
 }
 
 /** Settings of the planner. Times in milliseconds. */
 export interface PlannerSettings {
-  /** Time over which a change must pay. */
+  /** Time within which a change must pay off. */
   readonly horizonMs: number;
-  /** Averaging times of demand; a change must pay at each. */
+  /** Time constants of the two demand averages; a change must pay off at both. */
   readonly shortMs: number;
   readonly longMs: number;
-  /** Least time between two changes of a service. */
+  /** Minimum time between two changes of a service. */
   readonly cooldownMs: number;
-  /** Share of the demand that the engines must be able to serve after a change. */
+  /** Minimum share of the demand that the engines must be able to serve after a change. */
   readonly minServedShare: number;
-  /** Share of an engine's time that may be planned with; queues grow beyond it. */
+  /** Maximum planned utilization of an engine; above it, queues grow. */
   readonly maxUtilization: number;
 }
 
-/** Settings that the replay measure found best. */
+/** Default settings: those with the best results in the replay measurement. */
 export const PLANNER_SETTINGS: PlannerSettings = {
   horizonMs: 60_000,
   shortMs: 8000,
@@ -51,61 +51,66 @@
   minServedShare: 0.8,
 };
 
-/** An average over a time that fades. */
-class FadingRate {
-  readonly #timeMs: number;
+/** Exponentially decaying average of the demand per millisecond. */
+class DecayingRate {
+  readonly #timeConstantMs: number;
   #sum = engineCosts.NO_DEMAND;
   #requests = 0;
-  #at = 0;
+  #updatedAt = 0;
 
-  constructor(timeMs: number) {
-    this.#timeMs = timeMs;
+  constructor(timeConstantMs: number) {
+    this.#timeConstantMs = timeConstantMs;
   }
 
   add(demand: engineCosts.Demand, requests: number, now: number): void {
-    this.#fade(now);
+    this.#decay(now);
     this.#sum = engineCosts.sumOf(this.#sum, demand);
     this.#requests += requests;
   }
 
-  /** Engine time and requests wanted in a millisecond. */
+  /** Returns the demanded engine time and the requests per millisecond. */
   read(now: number): { demand: engineCosts.Demand; requests: number } {
-    this.#fade(now);
-    return { demand: engineCosts.scaled(this.#sum, 1 / this.#timeMs), requests: this.#requests / this.#timeMs };
+    this.#decay(now);
+    return {
+      demand: engineCosts.scaled(this.#sum, 1 / this.#timeConstantMs),
+      requests: this.#requests / this.#timeConstantMs,
+    };
   }
 
-  #fade(now: number): void {
-    const left = Math.exp(-(now - this.#at) / this.#timeMs);
-    this.#at = now;
-    this.#requests *= left;
-    this.#sum = engineCosts.scaled(this.#sum, left);
+  #decay(now: number): void {
+    const remaining = Math.exp(-(now - this.#updatedAt) / this.#timeConstantMs);
+    this.#updatedAt = now;
+    this.#requests *= remaining;
+    this.#sum = engineCosts.scaled(this.#sum, remaining);
   }
 }
 
 /**
- * Plans the roles of one service's engines. It compares the share of the
- * demand that the present roles can serve with the share after one change, and
- * proposes the change only if it gains more answers over the horizon than the
- * engine's absence loses and the team's weight asks for, at the demand of the
- * last seconds as well as at that of the last half minute.
+ * Plans the roles of one service's engines. It compares the share of the demand
+ * that the current roles can serve with the share after one change. It proposes
+ * the change only if the requests gained over the horizon exceed those lost
+ * while the engine is unavailable plus the service's weight, both at the demand
+ * of the last seconds and at that of the last half minute.
  */
 export class RolePlanner {
   readonly #settings: PlannerSettings;
-  readonly #short: FadingRate;
-  readonly #long: FadingRate;
+  readonly #short: DecayingRate;
+  readonly #long: DecayingRate;
   #lastChangeAt = Number.NEGATIVE_INFINITY;
   #startedAt: number | undefined;
 
-  /** @param settings - times and shares */
+  /** @param settings - settings of the planner */
   constructor(settings: PlannerSettings = PLANNER_SETTINGS) {
     this.#settings = settings;
-    this.#short = new FadingRate(settings.shortMs);
-    this.#long = new FadingRate(settings.longMs);
+    this.#short = new DecayingRate(settings.shortMs);
+    this.#long = new DecayingRate(settings.longMs);
   }
 
   /**
-   * @param demand - engine time that requests take, refused ones included
-   * @param requests - how many they are
+   * Adds requests to the demand.
+   *
+   * @param demand - engine time of the requests, including refused ones
+   * @param requests - number of requests
    * @param now - current time
    */
   onRequests(demand: engineCosts.Demand, requests: number, now: number): void {
@@ -114,32 +119,32 @@
     this.#long.add(demand, requests, now);
   }
 
-  /** @param now - when the last change ended */
+  /** @param now - when a change ended */
   onRoleChanged(now: number): void {
     this.#lastChangeAt = now;
   }
 
   /**
    * @param endpoints - the service's engines
-   * @param awayMs - time that a change takes an engine away
-   * @param weight - answers that a change must gain beyond its cost
+   * @param unavailableMs - time for which a change makes an engine unavailable
+   * @param weight - requests that a change must gain beyond its cost
    * @param now - current time
-   * @returns a change that pays, if there is one
+   * @returns the change with the highest gain, if any pays off
    */
   plan(
     endpoints: readonly PlannedEndpoint[],
-    awayMs: number,
+    unavailableMs: number,
     weight: number,
     now: number,
   ): PlannedRoleChange | undefined {
     if (this.#startedAt === undefined || now - this.#startedAt < this.#settings.shortMs) return undefined;
     if (now - this.#lastChangeAt < this.#settings.cooldownMs) return undefined;
-    const present = countRoles(endpoints);
+    const current = countRoles(endpoints);
     let best: PlannedRoleChange | undefined;
     for (const endpoint of leastBusyOfEachRole(endpoints)) {
       for (const role of Object.values(configuration.EndpointRole)) {
         if (role === endpoint.role) continue;
-        const gain = this.#gain(present, endpoint.role, role, awayMs, now) - weight;
+        const gain = this.#gain(current, endpoint.role, role, unavailableMs, now) - weight;
         if (gain > 0 && gain > (best?.gain ?? 0)) best = { endpoint: endpoint.id, role, gain };
       }
     }
@@ -147,23 +152,23 @@
   }
 
   #gain(
-    present: RoleCounts,
+    current: RoleCounts,
     from: configuration.EndpointRole,
     to: configuration.EndpointRole,
-    awayMs: number,
+    unavailableMs: number,
     now: number,
   ): number {
-    const during = withChange(present, from, -1);
-    const after = withChange(during, to, 1);
-    if (!servesAtAll(after)) return Number.NEGATIVE_INFINITY;
+    const duringChange = withChange(current, from, -1);
+    const afterChange = withChange(duringChange, to, 1);
+    if (!canServe(afterChange)) return Number.NEGATIVE_INFINITY;
     const gains = [this.#short, this.#long].map((rate) => {
       const { demand, requests } = rate.read(now);
       const share = (counts: RoleCounts): number => servedShare(counts, demand, this.#settings.maxUtilization);
-      // In an overload the admission takes in what is cheap, whatever the roles,
-      // and a change that follows the mix of all that arrives works against it.
-      if (share(present) > 0 && share(after) < this.#settings.minServedShare) return Number.NEGATIVE_INFINITY;
-      const gained = (share(after) - share(present)) * requests * (this.#settings.horizonMs - awayMs);
-      const lost = (share(present) - share(during)) * requests * awayMs;
+      // During overload, admission accepts the cheap requests whatever the roles are;
+      // a change that follows the mix of all arriving requests works against that.
+      if (share(current) > 0 && share(afterChange) < this.#settings.minServedShare) return Number.NEGATIVE_INFINITY;
+      const gained = (share(afterChange) - share(current)) * requests * (this.#settings.horizonMs - unavailableMs);
+      const lost = (share(current) - share(duringChange)) * requests * unavailableMs;
       return gained - lost;
     });
     return Math.min(...gains);
@@ -171,23 +176,23 @@
 }
 
 /**
- * @param counts - engines of each role
- * @param demand - engine time wanted in a millisecond
- * @param usableShare - share of an engine's time that may be planned with
- * @returns the share of the demand that they can serve in time
+ * @param counts - number of engines with each role
+ * @param demand - demanded engine time per millisecond
+ * @param maxUtilization - maximum planned utilization of an engine
+ * @returns the share of the demand that the engines can serve in time
  */
-export function servedShare(counts: RoleCounts, demand: engineCosts.Demand, usableShare: number): number {
+export function servedShare(counts: RoleCounts, demand: engineCosts.Demand, maxUtilization: number): number {
   if (demand.mixedMs === 0) return 1;
   const byPairs = Math.min(ratio(counts.prefill, demand.prefillMs), ratio(counts.decode, demand.decodeMs));
   const byMixed = ratio(counts.mixed, demand.mixedMs);
-  return Math.min(1, usableShare * (byPairs + byMixed));
+  return Math.min(1, maxUtilization * (byPairs + byMixed));
 }
 
-function ratio(engines: number, wanted: number): number {
-  return wanted > 0 ? engines / wanted : engines > 0 ? Number.MAX_SAFE_INTEGER : 0;
+function ratio(engines: number, demandedMs: number): number {
+  return demandedMs > 0 ? engines / demandedMs : engines > 0 ? Number.MAX_SAFE_INTEGER : 0;
 }
 
-function servesAtAll(counts: RoleCounts): boolean {
+function canServe(counts: RoleCounts): boolean {
   return counts.mixed > 0 || (counts.prefill > 0 && counts.decode > 0);
 }
 
@@ -206,11 +211,11 @@
 }
 
 function leastBusyOfEachRole(endpoints: readonly PlannedEndpoint[]): PlannedEndpoint[] {
-  const chosen = new Map<configuration.EndpointRole, PlannedEndpoint>();
+  const leastBusy = new Map<configuration.EndpointRole, PlannedEndpoint>();
   for (const endpoint of endpoints) {
     if (!endpoint.changeable) continue;
-    const present = chosen.get(endpoint.role);
-    if (!present || endpoint.inFlight < present.inFlight) chosen.set(endpoint.role, endpoint);
+    const current = leastBusy.get(endpoint.role);
+    if (!current || endpoint.inFlight < current.inFlight) leastBusy.set(endpoint.role, endpoint);
   }
-  return [...chosen.values()];
+  return [...leastBusy.values()];
 }
--- a/packages/core/src/takeoverGuard.ts
+++ b/packages/core/src/takeoverGuard.ts
@@ -2,7 +2,7 @@
 import type * as membership from "./membership.js";
 import * as orders from "./orders.js";
 
-/** What succession asks of its surroundings. */
+/** Dependencies of {@link TakeoverGuard}. */
 export interface TakeoverContext {
   readonly incarnation: string;
   readonly lingerMs: number;
@@ -10,7 +10,7 @@
   emit(action: actions.Action): void;
 }
 
-/** The lease under which a successor acts. */
+/** The shard lease under which a successor acts. */
 export interface SuccessorLease {
   readonly shard: string;
   readonly epoch: number;
@@ -18,14 +18,14 @@
 
 const DEPOSE_RETRY_MS = 1000;
 
-/** Gathers the evidence on former holders whose orders are unsettled. */
+/** Collects evidence on former holders with unsettled orders and decides when their endpoints may be taken over. */
 export class TakeoverGuard {
   readonly #context: TakeoverContext;
   readonly #deposed = new Set<string>();
   readonly #replacedSince = new Map<string, number>();
   readonly #askedAt = new Map<string, number>();
 
-  /** @param context - the daemon round it */
+  /** @param context - dependencies */
   constructor(context: TakeoverContext) {
     this.#context = context;
   }
@@ -40,6 +40,8 @@
   }
 
   /**
+   * Records when the writers of unsettled orders were replaced by another process on their VM.
+   *
    * @param records - the latest order of each endpoint
    * @param now - current time
    */
@@ -48,17 +50,18 @@
       if (record.phase !== orders.OrderPhase.Intended) continue;
       const writer = writerOf(record);
       const member = this.#context.roster.get(record.vm);
-      const replaced = member !== undefined && member.registration.incarnation !== record.incarnation;
-      if (replaced && !this.#replacedSince.has(writer)) this.#replacedSince.set(writer, now);
+      const isReplaced = member !== undefined && member.registration.incarnation !== record.incarnation;
+      if (isReplaced && !this.#replacedSince.has(writer)) this.#replacedSince.set(writer, now);
     }
   }
 
   /**
    * @param checksFencing - whether the endpoint refuses old fencing numbers
    * @param record - the unsettled order of another holder
-   * @param lease - under which this daemon acts
+   * @param lease - the lease under which this daemon acts
    * @param now - current time
-   * @returns whether this daemon may order the endpoint; if not, the former holder is asked
+   * @returns whether this daemon may send orders to the endpoint; if not, the former holder is asked to reset its
+   * order connections
    */
   decide(
     checksFencing: boolean,
@@ -74,16 +77,16 @@
       vmGone: this.#context.roster.isGone(record.vm),
       ...(replacedSince === undefined ? {} : { replacedSince }),
     };
-    const verdict = orders.mayTakeOver(checksFencing, evidence, this.#context.lingerMs, now);
-    if (!verdict.allowed) this.#askDepose(record, lease, now);
-    return verdict;
+    const decision = orders.mayTakeOver(checksFencing, evidence, this.#context.lingerMs, now);
+    if (!decision.allowed) this.#askDepose(record, lease, now);
+    return decision;
   }
 
   #askDepose(record: orders.OrderRecord, { shard, epoch }: SuccessorLease, now: number): void {
     const member = this.#context.roster.get(record.vm);
     if (member?.registration.incarnation !== record.incarnation) return;
-    const lastAsked = this.#askedAt.get(`${record.vm}/${shard}`) ?? Number.NEGATIVE_INFINITY;
-    if (now - lastAsked < DEPOSE_RETRY_MS) return;
+    const lastAskedAt = this.#askedAt.get(`${record.vm}/${shard}`) ?? Number.NEGATIVE_INFINITY;
+    if (now - lastAskedAt < DEPOSE_RETRY_MS) return;
     this.#askedAt.set(`${record.vm}/${shard}`, now);
     const { peerUrl } = member.registration;
     this.#context.emit({ type: actions.ActionType.AskDepose, vm: record.vm, peerUrl, shard, epoch });
--- a/packages/core/src/timeline.ts
+++ b/packages/core/src/timeline.ts
@@ -1,6 +1,6 @@
 import type * as common from "@camphorcourse/common";
 
-/** The kinds of event on the time line. */
+/** The kinds of timeline event. */
 export enum EventKind {
   RequestArrived = "request-arrived",
   RequestClaimed = "request-claimed",
@@ -25,27 +25,27 @@
   Leaving = "leaving",
 }
 
-/** A typed event before it is stamped. */
+/** A timeline event without its timestamp, VM and sequence number. */
 export interface TimelineNote {
   readonly kind: EventKind;
   readonly fields: Readonly<Record<string, common.Field>>;
 }
 
-/** An event on the time line of one process. */
+/** An event on the timeline of one process. */
 export interface TimelineEvent extends TimelineNote {
   readonly sequence: number;
   readonly stamp: common.HybridStamp;
   readonly vm: string;
 }
 
-/** What to read of a time line. */
+/** Filter for reading a timeline. */
 export interface TimelineQuery {
   readonly afterSequence: number;
   readonly request?: string;
   readonly endpoint?: string;
 }
 
-/** A bounded ring of events. */
+/** A bounded list of the most recent events. */
 export class Timeline {
   readonly #limit: number;
   readonly #vm: string;
@@ -54,7 +54,7 @@
 
   /**
    * @param vm - the VM whose events these are
-   * @param limit - how many are kept
+   * @param limit - number of recent events that are kept
    */
   constructor(vm: string, limit: number) {
     this.#vm = vm;
@@ -62,9 +62,9 @@
   }
 
   /**
-   * @param note - what happened
-   * @param stamp - when
-   * @returns the event as it was kept
+   * @param note - the event
+   * @param stamp - timestamp of the event
+   * @returns the stored event
    */
   add(note: TimelineNote, stamp: common.HybridStamp): TimelineEvent {
     const event = { ...note, stamp, vm: this.#vm, sequence: ++this.#sequence };
@@ -74,8 +74,8 @@
   }
 
   /**
-   * @param query - which events
-   * @returns the matching ones, oldest first
+   * @param query - the filter
+   * @returns the matching events, oldest first
    */
   read(query: TimelineQuery): TimelineEvent[] {
     return this.#events.filter(
--- a/packages/core/src/viewFreshness.ts
+++ b/packages/core/src/viewFreshness.ts
@@ -2,72 +2,75 @@
 import type * as membership from "./membership.js";
 
 /**
- * Whether this daemon's view of the configuration can be trusted for new work.
+ * Determines whether this daemon's view of the configuration is recent enough
+ * for new requests.
  *
- * A daemon that is cut off would go on sending work to an endpoint that is
- * leaving. It can't tell an outage of the key-value service from being cut off
- * by that service's silence alone, but in an outage its peers still answer.
- * So the view is fresh while the service or at least half of the peers are
- * heard. After a pause nothing counts that was heard before it.
+ * An isolated daemon would keep sending requests to an endpoint that is being
+ * drained. A lack of responses from the key-value service alone doesn't tell an
+ * outage of that service from isolation of the daemon, but in an outage the
+ * peers still answer. So the view is fresh while the service responds or at
+ * least half of the peers are alive. After a pause of the process, responses
+ * received before it don't count.
  */
 export class ViewFreshness {
-  #keyValueHeardAt = Number.NEGATIVE_INFINITY;
-  #contactSincePause = true;
-  #keyValueLost = false;
+  #keyValueRespondedAt = Number.NEGATIVE_INFINITY;
+  #hasContactSincePause = true;
+  #isKeyValueLost = false;
 
   /**
    * @param now - current time
-   * @returns whether the service had been lost before
+   * @returns whether the service was considered lost before
    */
   onKeyValueResponded(now: number): boolean {
-    this.#keyValueHeardAt = now;
-    this.#contactSincePause = true;
-    const wasLost = this.#keyValueLost;
-    this.#keyValueLost = false;
+    this.#keyValueRespondedAt = now;
+    this.#hasContactSincePause = true;
+    const wasLost = this.#isKeyValueLost;
+    this.#isKeyValueLost = false;
     return wasLost;
   }
 
   /**
-   * A call to the service failed. That too is contact after a pause: a lone
-   * daemon learns from it that there is an outage, and serves on.
+   * A call to the key-value service failed. This too counts as contact after a
+   * pause: a daemon without peers learns from it that there is an outage and
+   * keeps serving.
    *
    * @param now - current time
-   * @returns whether the service was lost just now
+   * @returns whether the service is considered lost from now on
    */
   onKeyValueFailed(now: number): boolean {
-    this.#contactSincePause = true;
-    if (this.#keyValueLost || this.isKeyValueFresh(now)) return false;
-    this.#keyValueLost = true;
+    this.#hasContactSincePause = true;
+    if (this.#isKeyValueLost || this.isKeyValueFresh(now)) return false;
+    this.#isKeyValueLost = true;
     return true;
   }
 
-  /** A peer's heartbeat came. */
+  /** A peer's heartbeat arrived. */
   onPeerReported(): void {
-    this.#contactSincePause = true;
+    this.#hasContactSincePause = true;
   }
 
-  /** The process was paused: what it knew before is of no use. */
+  /** The process was paused: its view from before the pause may be out of date. */
   onPaused(): void {
-    this.#contactSincePause = false;
-    this.#keyValueHeardAt = Number.NEGATIVE_INFINITY;
+    this.#hasContactSincePause = false;
+    this.#keyValueRespondedAt = Number.NEGATIVE_INFINITY;
   }
 
   /**
    * @param now - current time
-   * @returns whether the service was heard within the freshness limit
+   * @returns whether the key-value service responded within the maximum age of the view
    */
   isKeyValueFresh(now: number): boolean {
-    return now - this.#keyValueHeardAt < constants.VIEW_MAX_AGE_MS;
+    return now - this.#keyValueRespondedAt < constants.VIEW_MAX_AGE_MS;
   }
 
   /**
    * @param roster - the daemons
    * @param now - current time
-   * @returns whether new work may be taken
+   * @returns whether new requests may be accepted
    */
   isFresh(roster: membership.Roster, now: number): boolean {
     if (this.isKeyValueFresh(now)) return true;
-    if (!this.#contactSincePause) return false;
+    if (!this.#hasContactSincePause) return false;
     const peers = roster.peers().filter((peer) => !peer.registration.leaving && !roster.isGone(peer.registration.vm));
     const live = roster.livePeers(now).length;
     return live * 2 >= peers.length;
--- a/packages/core/tests/atMostOnce.test.ts
+++ b/packages/core/tests/atMostOnce.test.ts
@@ -21,22 +21,22 @@
   return harness.executions.filter((execution) => execution.key === key).length;
 }
 
-/** A key none of whose deliveries was answered, and each of which was told "not run", must not have run. */
-function assertWordsAreTrue(harness: coreHarness.CoreHarness): void {
-  for (const word of harness.words) {
-    if (word.outcome !== "not-run") continue;
-    const ran = harness.executions.some((execution) => execution.request === word.request);
-    assert.not(ran, `${word.request} was told not-run but ran`);
+/** Asserts that no request whose caller got "not-run" was executed. */
+function assertNotRunResults(harness: coreHarness.CoreHarness): void {
+  for (const result of harness.words) {
+    if (result.outcome !== "not-run") continue;
+    const ran = harness.executions.some((execution) => execution.request === result.request);
+    assert.not(ran, `${result.request} was told not-run but ran`);
   }
 }
 
 const atMostOnce = uvu.suite("at most once");
 
 /*
- * A caller sends the same label print to three daemons at once, and later
- * again. The claims race in the key-value service; one write's reply is lost.
- * One delivery runs the call, the others get its answer, since all of them
- * meet at the daemon that the claim names.
+ * A caller sends the same label print to three daemons at the same time. The
+ * claims race in the key-value service, and some write replies are lost. One
+ * request runs the call; the others join it at the daemon that the claim names
+ * and get its answer.
  */
 atMostOnce("duplicates at several daemons run once and get the same answer", () => {
   const harness = startDaemons(7);
@@ -48,15 +48,15 @@
   harness.run(12_000);
   for (let index = 0; index < 40; index++) assert.ok(executionsOf(harness, `key-${index}`) <= 1);
   assert.is(harness.words.length, 120);
-  assert.ok(harness.words.filter((word) => word.outcome === "answered").length >= 100);
+  assert.ok(harness.words.filter((result) => result.outcome === "answered").length >= 100);
 });
 
 /*
- * Daemons are killed and started anew, paused, and cut from the key-value
- * service at any step: before the claim, after it, after the dispatch, after
- * the answer. Replies and writes are lost. Whatever the callers of a key are
- * told, its call has run at most once, and who was told "not run" was told so
- * by the daemon that would have run it.
+ * Daemons are killed, restarted, paused and cut off from the key-value service
+ * at any step: before the claim, after it, after the dispatch, after the
+ * answer. Replies and writes are lost. Whatever the callers of a key are told,
+ * its call runs at most once, and a request answered with "not run" has not run:
+ * only the daemon that would have run it gives that answer.
  */
 atMostOnce("no interleaving of kills, pauses, outages and losses runs a key twice", () => {
   fastCheck.assert(
@@ -86,7 +86,7 @@
         harness.keyValueDown = false;
         harness.run(20_000);
         for (let key = 0; key <= 4; key++) assert.ok(executionsOf(harness, `key-${key}`) <= 1);
-        assertWordsAreTrue(harness);
+        assertNotRunResults(harness);
       },
     ),
     RUNS,
@@ -95,18 +95,18 @@
 
 /*
  * The key-value service is down when a label print arrives. The caller is told
- * at once that it was not run and when to come back. After the outage the same
- * key runs, once.
+ * immediately that it was not run and when to retry. After the outage the same
+ * key runs once.
  */
-atMostOnce("an outage refuses at once, and the key runs after it", () => {
+atMostOnce("a request during an outage is refused immediately, and its key runs afterwards", () => {
   const harness = startDaemons(3);
   harness.keyValueDown = true;
   harness.send("vm-1", documents.plainCall("first", "key"));
   harness.run(200);
-  const [word] = harness.words;
-  assert.is(word?.outcome, "not-run");
-  assert.is(word?.problem?.kind, "key-value-unavailable");
-  assert.ok((word?.problem?.retryAfterMs ?? 0) > 0);
+  const [result] = harness.words;
+  assert.is(result?.outcome, "not-run");
+  assert.is(result?.problem?.kind, "key-value-unavailable");
+  assert.ok((result?.problem?.retryAfterMs ?? 0) > 0);
   harness.keyValueDown = false;
   harness.run(SETTLE_MS);
   harness.send("vm-2", documents.plainCall("second", "key"));
@@ -116,11 +116,11 @@
 });
 
 /*
- * The daemon that ran the call is killed before its answer comes. A duplicate
- * at another daemon finds the claim and is told that the outcome is unknown: a
- * second run could print a second manifest.
+ * The daemon that ran the call is killed before the answer arrives. A duplicate
+ * at another daemon finds the claim and is told that the outcome is unknown,
+ * since a second run could print a second label.
  */
-atMostOnce("a duplicate after the claimant died is told that the outcome is unknown", () => {
+atMostOnce("a duplicate after the claimant crashed is told that the outcome is unknown", () => {
   const harness = startDaemons(5);
   harness.onDispatched = (vm) => {
     harness.after(1, () => {
@@ -132,14 +132,14 @@
   harness.onDispatched = () => undefined;
   harness.send("vm-2", documents.plainCall("second", "key"));
   harness.run(10_000);
-  const word = harness.words.find((candidate) => candidate.request === "second");
-  assert.is(word?.outcome, "unknown");
+  const result = harness.words.find((candidate) => candidate.request === "second");
+  assert.is(result?.outcome, "unknown");
   assert.is(executionsOf(harness, "key"), 1);
 });
 
 /*
- * A caller uses a key again for another label. It is refused, since an answer
- * to the first label would pass for one to the second.
+ * A caller reuses a key for another label. The request is refused, since the
+ * answer for the first label would be taken for that of the second.
  */
 atMostOnce("the same key with another body is refused", () => {
   const harness = startDaemons(9);
@@ -149,31 +149,33 @@
   harness.send("vm-2", documents.plainCall("third", "key", "two"));
   harness.run(SETTLE_MS);
   for (const request of ["second", "third"]) {
-    const word = harness.words.find((candidate) => candidate.request === request);
-    assert.is(word?.problem?.kind, "idempotency-key-reused");
+    const result = harness.words.find((candidate) => candidate.request === request);
+    assert.is(result?.problem?.kind, "idempotency-key-reused");
   }
   assert.is(executionsOf(harness, "key"), 1);
 });
 
 /*
- * A daemon's clock counts fractions of a millisecond, and a difference of two
- * such times is not always the whole number that was added. Duplicates then got
- * "unknown" at once, as the call to the daemon that runs their key was not made.
+ * A daemon's clock counts fractions of a millisecond, and the difference of two
+ * such times isn't always the whole number that was added. With a fractional
+ * timeout the call to the daemon that runs the key was not made, and duplicates
+ * got "unknown" immediately.
  */
-atMostOnce("a duplicate's wait is asked for in whole milliseconds", () => {
+atMostOnce("a duplicate's timeout is a whole number of milliseconds", () => {
   const harness = startDaemons(15);
   for (let index = 0; index < 60; index++) {
     harness.run(1 / 3);
     for (const vm of VMS) harness.send(vm, documents.plainCall(`${vm}-${index}`, `key-${index}`));
   }
   harness.run(SETTLE_MS);
-  assert.ok(harness.words.every((word) => word.outcome === "answered"));
+  assert.ok(harness.words.every((result) => result.outcome === "answered"));
 });
 
 /*
- * The endpoints refuse a label print, and the caller is told "not run". It comes
- * again at two other daemons at once. Both find the first daemon's claim and
- * ask there; one is let run the call, the other is sent to it for the answer.
+ * The endpoints refuse a label print, and the caller is told "not run". It is
+ * sent again to two other daemons at the same time. Both find the first
+ * daemon's claim and ask that daemon; it cedes the key to one of them and
+ * redirects the other to that one for the answer.
  */
 atMostOnce("a key that never ran is ceded to one asker only", () => {
   const harness = startDaemons(13);
@@ -187,31 +189,31 @@
   harness.run(SETTLE_MS);
   assert.is(executionsOf(harness, "key"), 1);
   assert.equal(
-    harness.words.slice(1).map((word) => word.outcome),
+    harness.words.slice(1).map((result) => result.outcome),
     ["answered", "answered"],
   );
 });
 
 atMostOnce.run();
 
-const claimBook = uvu.suite("claim book");
+const claimTable = uvu.suite("claim table");
 
-claimBook("a claim whose write has an unknown outcome is settled by reading back", () => {
-  const book = new core.ClaimTable("writer");
+claimTable("a claim whose write has an unknown outcome is resolved by reading back", () => {
+  const table = new core.ClaimTable("writer");
   const claim = { key: "key", digest: "d", vm: "vm-1", incarnation: "one", attempt: "a" };
-  book.request(claim);
-  const [read] = book.nextCommands(100, 0);
+  table.request(claim);
+  const [read] = table.nextCommands(100, 0);
   assert.is(read?.kind, "read");
-  book.onRead(core.ClaimTable.partitionOf("key"), []);
-  const [write] = book.nextCommands(100, 0);
+  table.onRead(core.ClaimTable.partitionOf("key"), []);
+  const [write] = table.nextCommands(100, 0);
   assert.is(write?.kind, "write");
-  book.onWritten({ outcome: core.TransactionOutcome.Unknown, revision: 0 });
-  assert.equal(book.takeAnswers(), []);
+  table.onWritten({ outcome: core.TransactionOutcome.Unknown, revision: 0 });
+  assert.equal(table.takeAnswers(), []);
   const puts = write?.kind === "write" ? write.transaction.puts : [];
   const records = puts.map(({ key, value }) => ({ key, value, createRevision: 5, modRevision: 5 }));
-  assert.is(book.nextCommands(200, 0)[0]?.kind, "read");
-  book.onRead(core.ClaimTable.partitionOf("key"), records);
-  assert.is(book.takeAnswers()[0]?.verdict, core.ClaimVerdict.Granted);
+  assert.is(table.nextCommands(200, 0)[0]?.kind, "read");
+  table.onRead(core.ClaimTable.partitionOf("key"), records);
+  assert.is(table.takeAnswers()[0]?.verdict, core.ClaimVerdict.Granted);
 });
 
-claimBook.run();
+claimTable.run();
--- a/packages/core/tests/configuration.test.ts
+++ b/packages/core/tests/configuration.test.ts
@@ -19,7 +19,7 @@
 
 const parsing = uvu.suite("team documents");
 
-parsing("a fault names its path and what to do", () => {
+parsing("an error names its path and how to correct it", () => {
   const text = documents.PLAIN_TEAM.replace("deadlineMs: 8000", "deadlineMs: soon").replace("printer-2", "Printer 2");
   const parsed = core.parseTeamDocument(text, "leoben");
   assert.ok(parsed.isErr());
@@ -35,13 +35,13 @@
     "leoben",
   );
   assert.match(unknown._unsafeUnwrapErr().detail, "endpoints.printer-1.service");
-  const foreign = core.parseTeamDocument(documents.PLAIN_TEAM, "ishikari");
-  assert.match(foreign._unsafeUnwrapErr().detail, "the path names 'ishikari'");
+  const otherTeam = core.parseTeamDocument(documents.PLAIN_TEAM, "ishikari");
+  assert.match(otherTeam._unsafeUnwrapErr().detail, "the path names 'ishikari'");
 });
 
-parsing("no text makes the parser throw, nor do aliases that would expand", () => {
-  const bomb = `a: &a [1,1,1,1,1,1,1,1,1]\nb: &b [*a,*a,*a,*a,*a,*a]\nc: [*b,*b,*b,*b,*b,*b]`;
-  assert.ok(core.parseTeamDocument(bomb, "leoben").isErr());
+parsing("neither arbitrary text nor expanding aliases make the parser throw", () => {
+  const expandingAliases = `a: &a [1,1,1,1,1,1,1,1,1]\nb: &b [*a,*a,*a,*a,*a,*a]\nc: [*b,*b,*b,*b,*b,*b]`;
+  assert.ok(core.parseTeamDocument(expandingAliases, "leoben").isErr());
   fastCheck.assert(
     fastCheck.property(fastCheck.string({ unit: "binary", maxLength: 300 }), (text) => {
       assert.ok(core.parseTeamDocument(text, "leoben").isErr());
@@ -55,9 +55,9 @@
 const forward = uvu.suite("configuration moves forward");
 
 /*
- * Nine daemons follow a team's document while it is changed again and again.
- * Daemons are paused and started anew, watch events come late. No daemon ever
- * goes back to an older document, and all end with the last one.
+ * Nine daemons follow a team's document while it changes repeatedly. Daemons
+ * are paused and restarted, and watch events arrive late. No daemon reverts to
+ * an older document, and all end with the last one.
  */
 forward("no daemon reverts, whatever the order in which changes reach it", () => {
   const change = fastCheck.record({
@@ -74,20 +74,20 @@
         harness.configure(documentOf(1), "leoben");
         for (const vm of VMS) harness.start(vm);
         let version = 1;
-        const seen = new Map<string, number>();
+        const lastVersions = new Map<string, number>();
         for (const step of steps) {
           const vm = VMS[step.vm] ?? "vm-1";
           if (step.what === "apply") harness.configure(documentOf(++version), "leoben");
           if (step.what === "pause") harness.pause(vm, 1500);
           if (step.what === "restart") {
             harness.start(vm);
-            seen.delete(vm);
+            lastVersions.delete(vm);
           }
           harness.run(step.waitMs);
           for (const name of VMS) {
             const present = versionAt(harness, name);
-            assert.ok(present >= (seen.get(name) ?? 0), `${name} went back to ${present}`);
-            seen.set(name, present);
+            assert.ok(present >= (lastVersions.get(name) ?? 0), `${name} went back to ${present}`);
+            lastVersions.set(name, present);
           }
         }
         harness.run(2000);
@@ -99,8 +99,8 @@
 });
 
 /*
- * A daemon's push of an old record arrives after the new one: a process that
- * was paused in the middle of telling its peers. The old record changes nothing.
+ * A daemon that was paused while it pushed records to its peers delivers an old
+ * record after the new one. The old record has no effect.
  */
 forward("a late push of an older record changes nothing", () => {
   const store = new core.ControlStore();
@@ -124,10 +124,11 @@
 
 /*
  * A daemon is cut off from the key-value service and from its peers. After the
- * freshness limit it refuses new work as not run, since an endpoint may have
- * begun to leave without its knowing. With most peers in reach it serves on.
+ * maximum age of its view it refuses new requests as not run, since an endpoint
+ * may be draining without its knowledge. With most peers reachable it keeps
+ * serving.
  */
-freshness("a daemon that hears neither the service nor its peers takes no new work", () => {
+freshness("a daemon that reaches neither the key-value service nor its peers refuses new requests", () => {
   const harness = new coreHarness.CoreHarness(2);
   harness.configure(documents.PLAIN_TEAM, "leoben");
   for (const vm of ["vm-1", "vm-2", "vm-3"]) harness.start(vm);
@@ -143,26 +144,27 @@
 });
 
 /*
- * A daemon was paused, and requests wait in its sockets when it goes on. It
- * refuses them until it has heard something, since its view may be old.
+ * A daemon was paused, and requests are waiting in its sockets when it resumes.
+ * It refuses them until it has contact with the service or a peer, since its
+ * view may be out of date.
  */
-freshness("requests that waited out a pause are not served from an old view", () => {
+freshness("requests that waited during a pause are not served from an outdated view", () => {
   const harness = new coreHarness.CoreHarness(2);
   harness.configure(documents.PLAIN_TEAM, "leoben");
-  const only = harness.start("vm-1");
+  const daemon = harness.start("vm-1");
   harness.run(3000);
   const request = documents.plainCall("late", "key");
   const instant = { now: harness.now + 20_000, wall: 0 };
-  const actions = only.handle({ type: core.EventType.RequestArrived, request }, instant);
+  const actions = daemon.handle({ type: core.EventType.RequestArrived, request }, instant);
   const refusal = actions.find((action) => action.type === core.ActionType.Refuse);
   assert.is(refusal?.type === core.ActionType.Refuse && refusal.problem.kind, common.ProblemKind.Isolated);
 });
 
 /*
- * The key-value service loses every lease at once. The daemons still hear one
- * another, so none drops the others from its roster.
+ * The key-value service loses all leases at the same time. The daemons still
+ * receive each other's heartbeats, so none removes the others from its roster.
  */
-freshness("registrations that vanish all together don't empty the roster", () => {
+freshness("the loss of all registrations at once doesn't empty the roster", () => {
   const harness = new coreHarness.CoreHarness(2);
   harness.configure(documents.PLAIN_TEAM, "leoben");
   for (const vm of ["vm-1", "vm-2", "vm-3"]) harness.start(vm);
--- a/packages/core/tests/orders.test.ts
+++ b/packages/core/tests/orders.test.ts
@@ -18,7 +18,7 @@
   return harness;
 }
 
-/** The orders that an engine obeyed never go back to an older number, and so never to an older holder's. */
+/** Asserts that no engine obeys an order with a lower number after one with a higher number, so none of a former holder. */
 function assertNoStaleOrder(harness: coreHarness.CoreHarness): void {
   for (const engine of ENGINES) {
     let newest = 0;
@@ -38,8 +38,8 @@
 const ordersSuite = uvu.suite("orders");
 
 /*
- * An operator asks for a role. The daemon that holds the shard's lease drains
- * the engine, writes its intention, orders, and writes the outcome; all
+ * An operator sets a role. The daemon that holds the shard's lease drains the
+ * engine, writes the intention, sends the order and writes the outcome. All
  * daemons then route by the new role.
  */
 ordersSuite("a role change is drained, ordered once and settled", () => {
@@ -59,10 +59,10 @@
 });
 
 /*
- * Holders are paused over the end of their leases, killed and replaced while
- * an operator changes roles again and again; writes and replies are lost, and
- * an order's bytes may linger for 25 s in a buffer. Whether or not the engines
- * check fencing numbers, none obeys an older order after a newer one.
+ * Holders are paused beyond the end of their leases, killed and replaced while
+ * an operator changes roles repeatedly; writes and replies are lost, and an
+ * order's bytes may stay in a buffer for 25 s. Whether or not the engines check
+ * fencing numbers, none obeys an older order after a newer one.
  */
 for (const checksFencing of [true, false]) {
   ordersSuite(`no stale order takes effect (engines ${checksFencing ? "check" : "ignore"} fencing numbers)`, () => {
@@ -99,9 +99,10 @@
 
 /*
  * The holder is paused between writing its intention and sending the order to
- * an engine that takes any order. Its successor does not order that engine
- * while the paused process may still send: the operator sees why it waits.
- * Once the platform lists the VM as gone, the change goes on.
+ * an engine that doesn't check fencing numbers. Its successor sends no order to
+ * that engine while the paused process may still send one, and shows the
+ * operator why it waits. Once the platform lists the VM as gone, the change
+ * proceeds.
  */
 ordersSuite("a successor waits for proof that the former holder can't send", () => {
   const harness = startDaemons(4, false);
@@ -129,10 +130,10 @@
 });
 
 /*
- * A holder was paused over the end of its lease. When it goes on, everything
- * that it knew of its authority is void until the lease has been renewed.
+ * A holder was paused beyond the end of its lease. When it resumes, its lease
+ * counts as invalid until it is renewed.
  */
-ordersSuite("authority ends with a pause", () => {
+ordersSuite("a lease becomes invalid after a pause", () => {
   const lease = new core.OwnLease();
   lease.onTick(0);
   lease.onRenewed("1", 0, core.constants.LEASE_TTL_MS);
@@ -143,8 +144,8 @@
 });
 
 /*
- * A renewal's reply comes late. The deadline counts from before the renewal
- * was sent, so the holder gives up before the service can end the lease.
+ * A renewal's reply arrives late. The deadline counts from before the renewal
+ * was sent, so the holder stops before the service can end the lease.
  */
 ordersSuite("a lease's deadline counts from the sending of the renewal", () => {
   const lease = new core.OwnLease();
@@ -154,9 +155,10 @@
 });
 
 /*
- * A holder's write sits in the network while its lease ends and another daemon
- * takes over. When the write arrives it has no effect, though the record that
- * it changes is untouched; nor has it one when only the record has changed.
+ * A holder's write is delayed in the network until its lease has ended and
+ * another daemon has taken over. When the write arrives it has no effect, even
+ * if the record that it changes is unmodified. It has none either if only the
+ * record was modified.
  */
 ordersSuite("a write of a holder whose lease has ended has no effect", () => {
   const harness = startDaemons(12, true);
@@ -194,28 +196,28 @@
 }
 
 /*
- * A report that came late hid that the engine had the target role all along.
- * The former holder's order is still under way, so the successor must not take
- * that role for its effect: a newer order would then be overtaken by it.
+ * A late report hid that the engine already had the target role. The former
+ * holder's order is still in transit, so the successor must not take that role
+ * as the effect of the order: the order could then arrive after a newer one.
  */
-ordersSuite("a role that the engine had before proves nothing", () => {
+ordersSuite("a target role that the engine already had is no proof", () => {
   const record = { fromRole: core.EndpointRole.Mixed, targetRole: core.EndpointRole.Prefill } as core.OrderRecord;
-  const deceived = new core.RoleChangeObserver(1000);
-  deceived.onReport(record, core.EndpointRole.Mixed, 900);
-  deceived.onReport(record, core.EndpointRole.Prefill, 1100);
-  assert.not(deceived.hasSeenChange);
-  const sound = new core.RoleChangeObserver(1000);
-  sound.onReport(record, core.EndpointRole.Mixed, 1100);
-  sound.onReport(record, core.EndpointRole.Prefill, 1200);
-  assert.ok(sound.hasSeenChange);
+  const afterEarlyReport = new core.RoleChangeObserver(1000);
+  afterEarlyReport.onReport(record, core.EndpointRole.Mixed, 900);
+  afterEarlyReport.onReport(record, core.EndpointRole.Prefill, 1100);
+  assert.not(afterEarlyReport.hasSeenChange);
+  const afterLateReport = new core.RoleChangeObserver(1000);
+  afterLateReport.onReport(record, core.EndpointRole.Mixed, 1100);
+  afterLateReport.onReport(record, core.EndpointRole.Prefill, 1200);
+  assert.ok(afterLateReport.hasSeenChange);
 });
 
 /*
- * The former holder's process was replaced on its VM. Its bytes may still sit
- * in a socket buffer there, so an endpoint that takes any order is left alone
- * until they must have run out.
+ * The former holder's process was replaced on its VM. Its bytes may still be in
+ * a socket buffer there, so an endpoint that doesn't check fencing numbers gets
+ * no order until such buffers must have expired.
  */
-ordersSuite("a replaced process's socket buffers are waited for", () => {
+ordersSuite("a takeover waits for the socket buffers of a replaced process", () => {
   const evidence = { deposed: false, vmGone: false, replacedSince: 1000 };
   assert.not(core.mayTakeOver(false, evidence, 60_000, 60_999).allowed);
   assert.ok(core.mayTakeOver(false, evidence, 60_000, 61_000).allowed);
@@ -228,7 +230,7 @@
 
 /*
  * An endpoint is drained while a daemon has a long stream there. The change waits
- * for that daemon's word that nothing is left, so the stream is not cut.
+ * until that daemon reports no requests, so the stream is not interrupted.
  */
 drainsSuite("a role change waits for the streams of every daemon", () => {
   const harness = startDaemons(6, true);
@@ -244,31 +246,31 @@
 });
 
 /*
- * A daemon with a stream at an endpoint is paused, and its registration ends. It
- * may wake up, so the drain of that endpoint waits until its VM is listed gone.
+ * A daemon that may have a stream at an endpoint is paused, and its registration
+ * ends. It may resume, so the drain waits until its VM is listed as gone.
  */
-drainsSuite("a role change waits for a daemon that is silent", () => {
+drainsSuite("a role change waits for a lost daemon whose VM is still listed", () => {
   const harness = startDaemons(8, true);
-  const silent = VMS.find((vm) => vm !== holderOf(harness)) ?? "";
-  harness.pause(silent, 1e9);
+  const lostVm = VMS.find((vm) => vm !== holderOf(harness)) ?? "";
+  harness.pause(lostVm, 1e9);
   harness.run(30_000);
   harness.configure(documents.engineTeam(["decode", "mixed"], true), "leoben");
   harness.run(30_000);
   assert.is(harness.orders.length, 0);
-  harness.vmStates.set(silent, core.VmState.Gone);
+  harness.vmStates.set(lostVm, core.VmState.Gone);
   harness.run(10_000);
   assert.is(harness.orders.length, 1);
 });
 
 /*
- * A daemon is paused until its registration has ended, and goes on. It is the
- * same process as before, registers again, and answers for its own requests, so
- * a role change need not wait for its VM to go.
+ * A daemon is paused until its registration has ended, and resumes. It is the
+ * same process, registers again and reports its own requests, so a role change
+ * need not wait for its VM to be listed as gone.
  */
-drainsSuite("a daemon that comes back from a pause no longer blocks role changes", () => {
+drainsSuite("a daemon that resumes after a pause no longer blocks role changes", () => {
   const harness = startDaemons(8, true);
-  const silent = VMS.find((vm) => vm !== holderOf(harness)) ?? "";
-  harness.pause(silent, 30_000);
+  const lostVm = VMS.find((vm) => vm !== holderOf(harness)) ?? "";
+  harness.pause(lostVm, 30_000);
   harness.run(40_000);
   harness.configure(documents.engineTeam(["decode", "mixed"], true), "leoben");
   harness.run(15_000);
@@ -277,9 +279,10 @@
 
 /*
  * An operator drains an endpoint. Within three seconds every daemon has stopped
- * giving it work, also one that has lost the key-value service: its peers tell.
+ * sending it requests. A daemon that has lost the key-value service learns of
+ * the drain from its peers.
  */
-drainsSuite("a draining endpoint gets no new work after 3 s, at any daemon", () => {
+drainsSuite("a draining endpoint gets no new requests from any daemon after 3 s", () => {
   const harness = startDaemons(10, true);
   const text = documents.engineTeam(["mixed", "mixed"], true).replace("role: mixed", "state: draining, role: mixed");
   harness.configure(text, "leoben");
