--- a/packages/core/src/core.ts
+++ b/packages/core/src/core.ts
@@ -1,20 +1,20 @@
 import * as common from "@camphorcourse/common";
 import * as actions from "./actions.js";
 import * as attempts from "./attempts.js";
-import * as claimDesk from "./claimDesk.js";
+import * as claimManager from "./claimManager.js";
 import type * as claims from "./claims.js";
 import * as configuration from "./configuration.js";
 import * as constants from "./constants.js";
-import * as controlEvents from "./controlEvents.js";
+import * as controlEvents from "./controlEventHandler.js";
 import * as controlFollower from "./controlFollower.js";
 import * as controlStore from "./controlStore.js";
 import * as events from "./events.js";
 import type * as keyValue from "./keyValueTypes.js";
-import * as leaseDesk from "./leaseDesk.js";
+import * as leaseManager from "./leaseManager.js";
 import * as leases from "./leases.js";
 import * as membership from "./membership.js";
 import type * as orderContext from "./orderContext.js";
-import * as orderDesk from "./orderDesk.js";
+import * as orderManager from "./orderManager.js";
 import * as peerView from "./peerView.js";
 import * as requestManager from "./requestManager.js";
 import * as endpointModel from "./endpointModel.js";
@@ -59,18 +59,18 @@
   readonly tree = new configuration.ConfigurationTree();
   readonly roster: membership.Roster;
   readonly shards = new leases.ShardLeases();
-  readonly orderDesk: orderDesk.OrderDesk;
+  readonly orderManager: orderManager.OrderManager;
   readonly requestManager: requestManager.RequestManager;
   readonly #store = new controlStore.ControlStore();
   readonly #follower: controlFollower.ControlFollower;
-  readonly #leaseDesk: leaseDesk.LeaseDesk;
+  readonly #leaseManager: leaseManager.LeaseManager;
   readonly #peerView: peerView.PeerView;
   readonly #freshness = new viewFreshness.ViewFreshness();
-  readonly #claimDesk: claimDesk.ClaimDesk;
-  readonly #control: controlEvents.ControlEvents;
+  readonly #claimManager: claimManager.ClaimManager;
+  readonly #control: controlEvents.ControlEventHandler;
   readonly #random: common.SeededRandom;
   readonly #pools = new Map<string, servicePool.ServicePool>();
-  readonly #loads = new Map<string, orderContext.SeenLoad>();
+  readonly #loads = new Map<string, orderContext.ReceivedLoadReport>();
   #nextSlowTickAt = 0;
   #actions: actions.Action[] = [];
   #instant: Instant = { now: 0, systemTime: 0 };
@@ -91,18 +91,18 @@
       poolOf: (service: string) => this.#pools.get(service),
       urlOf: (endpoint: string) => this.tree.endpoint(endpoint)?.settings.url,
       loadOf: (endpoint: string) => this.#loads.get(endpoint),
-      leaseIsValid: (now: number) => this.#leaseDesk.isValid(now),
+      leaseIsValid: (now: number) => this.#leaseManager.isValid(now),
       requestClaim: (request: string, claim: claims.Claim) => {
-        this.#claimDesk.request(request, claim);
+        this.#claimManager.request(request, claim);
       },
       emit: (action: actions.Action) => this.#actions.push(action),
     };
     const limits = { answerBytes: options.answerBytes ?? DEFAULT_ANSWER_BYTES, windowMs: constants.CLAIM_WINDOW_MS };
     this.requestManager = new requestManager.RequestManager(context, new attempts.AttemptTable(limits));
-    this.orderDesk = new orderDesk.OrderDesk(context);
-    this.#peerView = new peerView.PeerView(this.#pools, this.roster, this.orderDesk);
+    this.orderManager = new orderManager.OrderManager(context);
+    this.#peerView = new peerView.PeerView(this.#pools, this.roster, this.orderManager);
     const servingMembers = (): membership.Registration[] => this.servingMembers(this.#instant.now);
-    this.#leaseDesk = new leaseDesk.LeaseDesk(options.registration, {
+    this.#leaseManager = new leaseManager.LeaseManager(options.registration, {
       ...context,
       servingMembers,
       wantedShards: () => new Set(this.tree.services().map((service) => service.shard)),
@@ -111,26 +111,26 @@
       ...context,
       store: this.#store,
       policy: options.policy ?? servicePool.POLICY_SETTINGS,
-      orders: this.orderDesk,
+      orders: this.orderManager,
       pools: this.#pools,
       onUnregistered: () => {
-        this.#leaseDesk.onUnregistered();
+        this.#leaseManager.onUnregistered();
       },
     });
-    this.#claimDesk = new claimDesk.ClaimDesk({
+    this.#claimManager = new claimManager.ClaimManager({
       ...context,
       servingMembers,
       onClaimAnswered: (request, verdict, existingClaim) => {
         this.requestManager.deduplicator.onClaimAnswered(request, verdict, existingClaim, this.#instant.now);
       },
     });
-    this.#control = new controlEvents.ControlEvents({
+    this.#control = new controlEvents.ControlEventHandler({
       store: this.#store,
       follower: this.#follower,
       freshness: this.#freshness,
-      leaseDesk: this.#leaseDesk,
-      claimDesk: this.#claimDesk,
-      orderDesk: this.orderDesk,
+      leaseManager: this.#leaseManager,
+      claimManager: this.#claimManager,
+      orderManager: this.orderManager,
       peerView: this.#peerView,
       roster: this.roster,
       shards: this.shards,
@@ -141,7 +141,7 @@
 
   /** @returns this daemon's registration as it should be stored */
   get registration(): membership.Registration {
-    return this.#leaseDesk.registration;
+    return this.#leaseManager.registration;
   }
 
   /** @returns the revision up to which all control records have been applied */
@@ -151,12 +151,12 @@
 
   /** @returns the id of this daemon's lease in the key-value service, if it has one */
   get leaseId(): string | undefined {
-    return this.#leaseDesk.leaseId;
+    return this.#leaseManager.leaseId;
   }
 
   /** @returns whether claims wait to be written, so that the next tick should come soon */
   get hasPendingClaims(): boolean {
-    return this.#claimDesk.hasWaiting;
+    return this.#claimManager.hasWaiting;
   }
 
   /**
@@ -170,7 +170,7 @@
     this.#instant = instant;
     this.#checkPause(instant.now);
     this.#apply(event, instant.now);
-    this.#claimDesk.run(instant.now, instant.systemTime);
+    this.#claimManager.run(instant.now, instant.systemTime);
     const result = this.#actions;
     this.#actions = [];
     return result;
@@ -187,7 +187,7 @@
    * @returns whether the order may still be sent
    */
   maySendOrder(shard: string, epoch: number, now: number): boolean {
-    return this.#leaseDesk.isValid(now) && this.shards.epochOf(shard, this.registration.incarnation) === epoch;
+    return this.#leaseManager.isValid(now) && this.shards.epochOf(shard, this.registration.incarnation) === epoch;
   }
 
   /**
@@ -202,7 +202,7 @@
    * @param endpoint - `team/endpoint`
    * @returns its last load report
    */
-  loadOf(endpoint: string): orderContext.SeenLoad | undefined {
+  loadOf(endpoint: string): orderContext.ReceivedLoadReport | undefined {
     return this.#loads.get(endpoint);
   }
 
@@ -266,7 +266,7 @@
         this.#onRequest(event.request, now);
         break;
       case events.EventType.ClaimAnswered:
-        this.#claimDesk.onAnswered(event.attempt, event.verdict, event.standing);
+        this.#claimManager.onAnswered(event.attempt, event.verdict, event.standing);
         break;
       case events.EventType.JoinAnswered:
         this.requestManager.deduplicator.onJoinAnswered(event, now);
@@ -290,7 +290,7 @@
         this.requestManager.onCallerGone(event.request, now);
         break;
       case events.EventType.ClaimsAsked:
-        this.#claimDesk.onAsked(event.claims);
+        this.#claimManager.onAsked(event.claims);
         break;
       case events.EventType.ResumeBegun:
         this.#poolOfEndpoint(event.endpoint)?.endpoint(event.endpoint)?.onDispatched(event.resume, resumedRequest(now));
@@ -313,7 +313,7 @@
   }
 
   #checkPause(now: number): void {
-    const pausedMs = this.#leaseDesk.noticePause(now);
+    const pausedMs = this.#leaseManager.detectPause(now);
     if (pausedMs === 0) return;
     this.#freshness.onPaused();
     this.#note(timeline.EventKind.Paused, { pausedMs: Math.round(pausedMs) });
@@ -322,26 +322,26 @@
   #onTick(now: number): void {
     const lost = this.roster.expire(now);
     for (const vm of lost) this.#note(timeline.EventKind.MemberLost, { vm });
-    if (lost.length > 0) this.#peerView.sumUp(now);
-    this.#leaseDesk.renew(now);
+    if (lost.length > 0) this.#peerView.updatePeerTotals(now);
+    this.#leaseManager.renew(now);
     this.#onSlowTick(now);
     this.requestManager.onTick(now);
     for (const pool of this.#pools.values()) this.requestManager.dispatchQueued(now, pool);
-    this.orderDesk.onTick(now);
+    this.orderManager.onTick(now);
   }
 
   /** Work that iterates over all services and endpoints, which record changes also update at once. */
   #onSlowTick(now: number): void {
     if (now < this.#nextSlowTickAt) return;
-    this.#nextSlowTickAt = now + constants.SLOW_TICK_MS;
-    if (this.#store.appliedRevision > 0) this.#leaseDesk.takeShards(now);
+    this.#nextSlowTickAt = now + constants.SLOW_TICK_INTERVAL_MS;
+    if (this.#store.appliedRevision > 0) this.#leaseManager.takeShards(now);
     this.#follower.refreshEndpoints(now);
   }
 
   #onStopAsked(): void {
     if (this.registration.leaving) return;
     this.#note(timeline.EventKind.Leaving, {});
-    this.#leaseDesk.leave();
+    this.#leaseManager.markLeaving();
   }
 
   /**
@@ -353,7 +353,7 @@
    */
   markStopped(instant: Instant): actions.Action[] {
     this.#instant = instant;
-    this.#leaseDesk.stop();
+    this.#leaseManager.markStopped();
     const result = this.#actions;
     this.#actions = [];
     return result;
--- a/packages/daemon/src/adminServer.ts
+++ b/packages/daemon/src/adminServer.ts
@@ -56,7 +56,7 @@
       livePeers: daemonCore.roster.livePeers(now).length,
       requests: daemonCore.requestManager.size,
       leases: daemonCore.shards.all(),
-      waitingChanges: Object.fromEntries(daemonCore.orderDesk.waiting()),
+      waitingChanges: Object.fromEntries(daemonCore.orderManager.waiting()),
     };
   }
 
@@ -68,7 +68,7 @@
       dataCentre: peer.registration.dataCentre,
       state: peer.registration.leaving ? "leaving" : roster.isServing(peer.registration.vm, now) ? "serving" : "silent",
       registered: peer.registered,
-      heardMsAgo: Math.round(now - peer.heardAt),
+      heardMsAgo: Math.round(now - peer.lastSeenAt),
     }));
     const state = registration.leaving ? "leaving" : "serving";
     return [
@@ -100,7 +100,7 @@
 
   #endpoints(caller: authenticator.Caller): object[] {
     const { core: daemonCore } = this.#daemon;
-    const waiting = daemonCore.orderDesk.waiting();
+    const waiting = daemonCore.orderManager.waiting();
     return daemonCore.tree
       .endpoints()
       .filter(visibleTo(caller))
@@ -111,7 +111,7 @@
     const now = this.#daemon.clock.now();
     const { core: daemonCore } = this.#daemon;
     const model = daemonCore.poolOf(endpoint.serviceId)?.endpoint(endpoint.id);
-    const order = daemonCore.orderDesk.orderOf(endpoint.id)?.record;
+    const order = daemonCore.orderManager.orderOf(endpoint.id)?.record;
     return {
       endpoint: endpoint.id,
       service: endpoint.serviceId,
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -104,7 +104,7 @@
     this.#repeat(TICK_MS, () => {
       this.handle({ type: core.EventType.Tick });
     });
-    this.#repeat(core.constants.EXCHANGE_MS, () => {
+    this.#repeat(core.constants.HEARTBEAT_INTERVAL_MS, () => {
       this.peerCalls.exchangeHeartbeats();
     });
     this.#repeat(LOAD_POLL_MS, () => {
@@ -220,7 +220,7 @@
    */
   async drain(): Promise<void> {
     this.handle({ type: core.EventType.StopAsked });
-    const minDrainUntil = this.clock.now() + core.constants.ADDRESS_TTL_MS + core.constants.EXCHANGE_MS;
+    const minDrainUntil = this.clock.now() + core.constants.ADDRESS_TTL_MS + core.constants.HEARTBEAT_INTERVAL_MS;
     while (this.clock.now() < minDrainUntil || this.openExchanges > 0 || this.core.requestManager.size > 0) {
       await new Promise((resolve) => setTimeout(resolve, DRAIN_POLL_MS));
     }
--- a/packages/daemon/src/peerCalls.ts
+++ b/packages/daemon/src/peerCalls.ts
@@ -57,7 +57,7 @@
     const now = this.#clock.now();
     const { vm } = this.#core.registration;
     for (const peer of this.#core.roster.peers()) {
-      const initiates = vm < peer.registration.vm || now - peer.heardAt > HEARTBEAT_TAKEOVER_MS;
+      const initiates = vm < peer.registration.vm || now - peer.lastSeenAt > HEARTBEAT_TAKEOVER_MS;
       if (initiates) void this.#exchangeHeartbeatsWith(peer.registration.peerUrl);
     }
   }
--- a/packages/measure/src/replay.ts
+++ b/packages/measure/src/replay.ts
@@ -94,7 +94,7 @@
 function policySettings(policy: Policy): core.PolicySettings {
   const defaults = core.POLICY_SETTINGS;
   if (policy === Policy.NoRoleChange)
-    return { ...defaults, planner: { ...defaults.planner, restMs: NEVER, shortMs: NEVER } };
+    return { ...defaults, planner: { ...defaults.planner, cooldownMs: NEVER, shortMs: NEVER } };
   if (policy === Policy.NoAdmission) return { ...defaults, refusesInfeasible: false };
   if (policy === Policy.NoAffinity) return { ...defaults, choice: { ...defaults.choice, prefixAffinity: false } };
   if (policy === Policy.LongEngineQueues)
