--- a/packages/gateway/src/activeSend.ts
+++ b/packages/gateway/src/activeSend.ts
@@ -46,7 +46,7 @@
     this.sentAt = performance.now();
     const { plan, endpoint } = planned;
     this.#pendingPrefill =
-      plan === undefined ? undefined : context.board.beginPrefill(endpoint.id, plan.workTokens, plan.urgency);
+      plan === undefined ? undefined : context.loads.beginPrefill(endpoint.id, plan.workTokens, plan.urgency);
     this.#silence = new silenceWatches.SilenceWatch(context, served, planned, this.sentAt);
   }
 
@@ -76,7 +76,7 @@
     receiver: sendings.AnswerReceiver,
     onSilent: (silentMs: number) => void,
   ): void {
-    this.#context.board.beginRequest(this.endpoint.id);
+    this.#context.loads.beginRequest(this.endpoint.id);
     this.#silence.start(onSilent);
     this.#request = this.#context.client.send(this.endpoint, message, receiver);
   }
@@ -88,7 +88,7 @@
    */
   finishPrefill(): boolean {
     if (this.#pendingPrefill === undefined) return false;
-    this.#context.board.endPrefill(this.#pendingPrefill);
+    this.#context.loads.endPrefill(this.#pendingPrefill);
     this.#pendingPrefill = undefined;
     this.#hasFirstEvent = true;
     return true;
@@ -120,7 +120,7 @@
   /** Takes the work of a send that is over off its endpoint. */
   release(): void {
     this.finishPrefill();
-    this.#context.board.endRequest(this.endpoint.id);
+    this.#context.loads.endRequest(this.endpoint.id);
     this.#silence.stop();
   }
 }
--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -16,7 +16,7 @@
   readonly metrics: metricsModule.Metrics;
   readonly format: ports.MessageFormat;
   readonly view: fleetViews.FleetView;
-  readonly board: serving.EngineLoadTracker;
+  readonly loads: serving.EngineLoadTracker;
   readonly health: serving.EndpointHealth;
   /** Learnt speeds of each service's engines. */
   readonly speeds: serving.ServiceSpeeds;
--- a/packages/gateway/src/endpointFeedback.ts
+++ b/packages/gateway/src/endpointFeedback.ts
@@ -56,7 +56,7 @@
       waiting: active.plan?.tokensWaiting,
       prompt: this.#served.caller.headers.prompt?.promptTokens,
       urgency: active.plan?.urgency,
-      running: this.#context.board.runningRequests(active.endpoint.id, now),
+      running: this.#context.loads.runningRequests(active.endpoint.id, now),
       predictedMs: Math.round(active.predictedMs),
       leftAfterMs: active.dispatchFields.leftAfterMs,
       tookMs: Math.round(tookMs),
@@ -97,7 +97,7 @@
     const { prompt } = this.#served.caller.headers;
     if (prompt !== undefined) this.#context.demand.learnEvents(prompt.outputTokens, events);
     if (meanPauseMs === undefined || this.#served.sends > 1 || !this.#isCurrentIncarnation(active)) return;
-    const streams = this.#context.board.runningRequests(active.endpoint.id, performance.now());
+    const streams = this.#context.loads.runningRequests(active.endpoint.id, performance.now());
     this.#speeds().learnPause(streams, meanPauseMs);
   }
 
@@ -106,7 +106,7 @@
     const { prompt } = this.#served.caller.headers;
     const memoryTokens = this.#context.view.table?.service(this.#served.service)?.engine?.memoryTokens;
     if (prompt === undefined || memoryTokens === undefined) return;
-    this.#context.board.noteCachedPrompt(active.endpoint.id, memoryTokens, prompt, true);
+    this.#context.loads.noteCachedPrompt(active.endpoint.id, memoryTokens, prompt, true);
   }
 
   #learnPrefillSpeed(active: activeSends.ActiveSend, tookMs: number, now: number): void {
@@ -119,7 +119,7 @@
       unreadTokens: plan.unreadTokens,
       cachedTokens: Math.max(0, prompt.promptTokens - plan.unreadTokens),
       tokensWaiting: plan.tokensWaiting,
-      streams: this.#context.board.runningRequests(endpoint.id, now),
+      streams: this.#context.loads.runningRequests(endpoint.id, now),
       tookMs,
     });
   }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -122,7 +122,7 @@
       metrics: this.#metrics,
       format: dependencies.format,
       view: this.#view,
-      board: new serving.EngineLoadTracker(),
+      loads: new serving.EngineLoadTracker(),
       health: new serving.EndpointHealth(),
       speeds: new serving.ServiceSpeeds(),
       demand: new serving.Demand(),
@@ -165,7 +165,7 @@
       settings,
       entry: this.#entry,
       view: this.#view,
-      board: this.#context.board,
+      loads: this.#context.loads,
       demand: this.#context.demand,
       speeds: this.#context.speeds,
       sizeShares: this.#context.sizeShares,
@@ -404,7 +404,7 @@
    */
   #forgetEndpoint(endpointId: string): void {
     this.#context.client.forget(endpointId);
-    this.#context.board.forget(endpointId);
+    this.#context.loads.forget(endpointId);
     this.#context.health.forget(endpointId);
     this.#context.suspects.forget(endpointId);
     this.#roles.forget(endpointId);
--- a/packages/gateway/src/peerLink.ts
+++ b/packages/gateway/src/peerLink.ts
@@ -41,7 +41,7 @@
   readonly settings: settingsModule.GatewaySettings;
   readonly entry: daemonEntries.DaemonEntry;
   readonly view: fleetViews.FleetView;
-  readonly board: serving.EngineLoadTracker;
+  readonly loads: serving.EngineLoadTracker;
   readonly demand: serving.Demand;
   readonly speeds: serving.ServiceSpeeds;
   readonly sizeShares: serving.AcceptanceTracker;
@@ -158,14 +158,14 @@
 
   /** @returns whether this daemon is active or still has callers' requests in progress */
   get #dispatching(): boolean {
-    return this.activeSet.active || this.#parts.board.ownWork().size > 0;
+    return this.activeSet.active || this.#parts.loads.ownWork().size > 0;
   }
 
   #tick(): void {
     const now = performance.now();
     const hasChanged = this.activeSet.update(now);
     const recipients = this.#recipients(now);
-    const hasNewWork = this.#parts.board.hasUnsentReads || this.#serializedWork() !== this.#lastSentWork;
+    const hasNewWork = this.#parts.loads.hasUnsentReads || this.#serializedWork() !== this.#lastSentWork;
     this.#sendHeartbeats(now, recipients, {
       frequent: hasChanged || hasNewWork || now - this.#lastSentAt.frequent >= MAX_HEARTBEAT_INTERVAL_MS,
       occasional: hasChanged || now - this.#lastSentAt.occasional >= this.#occasionalIntervalMs,
@@ -214,7 +214,7 @@
   }
 
   #serializedWork(): string {
-    return JSON.stringify([...this.#parts.board.ownWork()]);
+    return JSON.stringify([...this.#parts.loads.ownWork()]);
   }
 
   /**
--- a/packages/gateway/src/peerWork.ts
+++ b/packages/gateway/src/peerWork.ts
@@ -16,7 +16,7 @@
 /** State that heartbeats report and update. */
 export interface PeerWorkParts {
   readonly view: fleetViews.FleetView;
-  readonly board: serving.EngineLoadTracker;
+  readonly loads: serving.EngineLoadTracker;
   readonly demand: serving.Demand;
   readonly speeds: serving.ServiceSpeeds;
   readonly sizeShares: serving.AcceptanceTracker;
@@ -56,9 +56,9 @@
    * @returns what is new since the last heartbeat, and the work in progress
    */
   createFields(now: number): WorkFields {
-    const { board, demand } = this.#parts;
+    const { loads, demand } = this.#parts;
     return {
-      work: [...board.ownWork()].map(([endpoint, { running, unread }]) =>
+      work: [...loads.ownWork()].map(([endpoint, { running, unread }]) =>
         protobuf.create(messages.EndpointWorkSchema, {
           endpoint,
           running,
@@ -81,21 +81,21 @@
    * @param validMs - time for which the reported work is valid, in milliseconds
    */
   apply(pulse: messages.Pulse, now: number, validMs: number): void {
-    const { board, view } = this.#parts;
+    const { loads, view } = this.#parts;
     const work = pulse.work.map(({ endpoint, unread, running }) => [endpoint, { unread, running }] as const);
-    board.updatePeerWork(pulse.vm, new Map(work), now, validMs);
+    loads.updatePeerWork(pulse.vm, new Map(work), now, validMs);
     for (const { endpoint, model, part, tokens, startedAtMs, isRead } of pulse.reads) {
       if (endpointIncarnations.isOtherIncarnation(view, endpoint, endpointIncarnations.fromMessage(startedAtMs)))
         continue;
-      board.notePeerRead({ endpointId: endpoint, model, part: { id: part, tokens }, isRead });
+      loads.notePeerRead({ endpointId: endpoint, model, part: { id: part, tokens }, isRead });
     }
     this.#applyObservations(pulse.observations);
     for (const count of pulse.sizes) this.#parts.sizeShares.addPeerCount(count, now);
   }
 
   #readMessages(): messages.PartRead[] {
-    const { board, view } = this.#parts;
-    return board.takeUnsentReads().map(({ endpointId, model, part, isRead }) =>
+    const { loads, view } = this.#parts;
+    return loads.takeUnsentReads().map(({ endpointId, model, part, isRead }) =>
       protobuf.create(messages.PartReadSchema, {
         endpoint: endpointId,
         model,
--- a/packages/gateway/src/roleChanger.ts
+++ b/packages/gateway/src/roleChanger.ts
@@ -92,12 +92,12 @@
   }
 
   #decide(service: string, limits: serving.EngineLimits): serving.RoleChange | undefined {
-    const { board, demand, speeds, view } = this.#parts.context;
+    const { loads, demand, speeds, view } = this.#parts.context;
     const now = performance.now();
     const engines = view.directory.availableEndpoints(service).map((engine) => ({
       id: engine.id,
       role: view.targetRole(engine, now),
-      running: board.runningRequests(engine.id, now),
+      running: loads.runningRequests(engine.id, now),
       slots: engine.slots,
       changing: view.isChangingRole(engine, now),
       failedAt: this.#failedAt.get(engine.id),
--- a/packages/gateway/src/sendChooser.ts
+++ b/packages/gateway/src/sendChooser.ts
@@ -64,13 +64,13 @@
    * @returns the send, or why there is none
    */
   chooseIsolated(): Choice {
-    const { board, crashDetector, view } = this.#context;
+    const { loads, crashDetector, view } = this.#context;
     const definition = view.table?.service(this.#served.service);
     const prompt = this.#served.caller.headers.prompt;
     const now = performance.now();
     const candidates = this.#candidates(definition)
       .filter((endpoint) => endpoint.role !== serving.EngineRole.Prefill && !crashDetector.hasCrashed(endpoint, now))
-      .sort((left, right) => board.runningRequests(left.id, now) - board.runningRequests(right.id, now));
+      .sort((left, right) => loads.runningRequests(left.id, now) - loads.runningRequests(right.id, now));
     const [leastBusy, another] = candidates;
     if (leastBusy === undefined || another === undefined) return neverthrow.err({ reason: "no-spare-endpoint" });
     if (definition?.engine === undefined || prompt === undefined) return answeringAt(leastBusy, "no-endpoint");
@@ -92,10 +92,10 @@
   }
 
   #chooseLeastBusy(definition: serving.Service | undefined): Choice {
-    const { board, health, random, settings } = this.#context;
+    const { loads, health, random, settings } = this.#context;
     const endpoint = serving.leastBusy({
       endpoints: this.#candidates(definition),
-      loads: board,
+      loads,
       health,
       dataCentre: settings.dataCentre,
       draw: () => random.next(),
@@ -122,11 +122,11 @@
     limits: serving.EngineLimits,
     prompt: serving.Prompt,
   ): serving.PlacementInputs {
-    const { board, health, settings, speeds } = this.#context;
+    const { loads, health, settings, speeds } = this.#context;
     return {
       prompt,
       engines,
-      loads: board,
+      loads,
       memoryTokens: limits.memoryTokens,
       speeds: speeds.of(definition.name),
       slowness: (id) => health.slowness(id),
@@ -152,7 +152,7 @@
     }
     const plan = admitted.value;
     const firstEngine = plan.prefillEngine ?? plan.decodeEngine;
-    this.#context.board.noteCachedPrompt(firstEngine.id, limits.memoryTokens, prompt);
+    this.#context.loads.noteCachedPrompt(firstEngine.id, limits.memoryTokens, prompt);
     const stage = plan.prefillEngine === undefined ? Stage.Answering : Stage.Prefill;
     return neverthrow.ok({ endpoint: firstEngine, stage, predictedMs: plan.predictedMs, plan });
   }
--- a/packages/gateway/tests/helpers/exchangeHarness.ts
+++ b/packages/gateway/tests/helpers/exchangeHarness.ts
@@ -198,7 +198,7 @@
       metrics: new metricsModule.Metrics(),
       format: FORMAT,
       view,
-      board: new serving.EngineLoadTracker(),
+      loads: new serving.EngineLoadTracker(),
       health: new serving.EndpointHealth(),
       speeds: new serving.ServiceSpeeds(),
       demand: new serving.Demand(),
@@ -269,7 +269,7 @@
 
   /** @returns number of requests that are counted as running, on all endpoints */
   get running(): number {
-    return [...this.#context.board.ownWork().values()].reduce((sum, work) => sum + work.running, 0);
+    return [...this.#context.loads.ownWork().values()].reduce((sum, work) => sum + work.running, 0);
   }
 
   /**
--- a/packages/gateway/tests/peerIncarnations.test.ts
+++ b/packages/gateway/tests/peerIncarnations.test.ts
@@ -28,7 +28,7 @@
 /** One daemon's peer link, and a bare socket as its peer. */
 class LinkFixture {
   readonly view = new fleetViews.FleetView();
-  readonly board = new serving.EngineLoadTracker();
+  readonly loads = new serving.EngineLoadTracker();
   readonly departures: [id: string, departure: fleetViewUpdaters.Departure][] = [];
   readonly received: messages.Pulse[] = [];
   readonly lines: string[] = [];
@@ -54,7 +54,7 @@
       settings: { peers: address } as never,
       entry: { ...other, vm: "vm-1", peers: `127.0.0.1:${this.#port}` },
       view: this.view,
-      board: this.board,
+      loads: this.loads,
       demand: new serving.Demand(),
       speeds: new serving.ServiceSpeeds(),
       suspects: new serving.SuspectTable({ isRefuted: () => false, onChange: () => undefined }),
@@ -171,7 +171,7 @@
 // for them.
 suite("parts that the previous incarnation has read don't count as cached", async () => {
   fixture.view.directory.put(engine(SECOND), 5);
-  const cached = (): number => fixture.board.cache("e1", MEMORY_TOKENS).cachedTokens(PROMPT);
+  const cached = (): number => fixture.loads.cache("e1", MEMORY_TOKENS).cachedTokens(PROMPT);
   assert.is(cached(), 0);
   const read = { endpoint: "e1", model: "m", part: "shared", tokens: 500 };
   await fixture.receive({ reads: [{ ...read, startedAtMs: BigInt(FIRST) }] });
--- a/packages/gateway/tests/peerLink.test.ts
+++ b/packages/gateway/tests/peerLink.test.ts
@@ -66,7 +66,7 @@
     settings: { peers: { host: HOST, port: await freePorts.freePort() } } as never,
     entry,
     view,
-    board: new serving.EngineLoadTracker(),
+    loads: new serving.EngineLoadTracker(),
     demand: new serving.Demand(),
     speeds: new serving.ServiceSpeeds(),
     suspects: new serving.SuspectTable({ isRefuted: () => false, onChange: () => undefined }),
--- a/packages/serving/tests/endpointIncarnations.test.ts
+++ b/packages/serving/tests/endpointIncarnations.test.ts
@@ -147,7 +147,7 @@
 // the new incarnation would look busy, and peers would assume cached parts that it does not have. This daemon's own work
 // ends with its own requests and stays exact.
 suite("predicted and received state of a previous incarnation is dropped, own work stays", () => {
-  const board = new serving.EngineLoadTracker();
+  const loads = new serving.EngineLoadTracker();
   const prompt = {
     model: "m",
     parts: [
@@ -158,7 +158,7 @@
     outputTokens: 10,
   };
   const work = { unread: [900], running: 3 };
-  board.updatePeerWork(
+  loads.updatePeerWork(
     "peer",
     new Map([
       ["e1", work],
@@ -166,21 +166,21 @@
     ]),
     0,
   );
-  for (const id of ["e1", "e2"]) board.noteCachedPrompt(id, 10_000, prompt);
-  board.beginRequest("e1");
-  board.forget("e1");
-  assert.is(board.runningRequests("e1", 1), 1);
-  assert.is(board.tokensAhead("e1", 0, 1), 0);
-  assert.is(board.cache("e1", 10_000).cachedTokens(prompt), 0);
+  for (const id of ["e1", "e2"]) loads.noteCachedPrompt(id, 10_000, prompt);
+  loads.beginRequest("e1");
+  loads.forget("e1");
+  assert.is(loads.runningRequests("e1", 1), 1);
+  assert.is(loads.tokensAhead("e1", 0, 1), 0);
+  assert.is(loads.cache("e1", 10_000).cachedTokens(prompt), 0);
   assert.equal(
-    board.takeUnsentReads().map((read) => `${read.endpointId} ${read.part.id}`),
+    loads.takeUnsentReads().map((read) => `${read.endpointId} ${read.part.id}`),
     ["e2 shared", "e2 own"],
   );
-  assert.is(board.runningRequests("e2", 1), 3);
+  assert.is(loads.runningRequests("e2", 1), 3);
   // The peer's next update replaces its previous one: what was dropped must not be subtracted twice.
-  board.updatePeerWork("peer", new Map([["e1", work]]), 2);
-  assert.is(board.runningRequests("e1", 3), 4);
-  assert.is(board.runningRequests("e2", 3), 0);
+  loads.updatePeerWork("peer", new Map([["e1", work]]), 2);
+  assert.is(loads.runningRequests("e1", 3), 4);
+  assert.is(loads.runningRequests("e2", 3), 0);
 });
 
 suite.run();
