--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -23,7 +23,7 @@
   /** Engine demand of the prompts that this daemon received. */
   readonly demand: serving.Demand;
   /** Shares of prompts that were accepted, by prompt size. */
-  readonly sizeShares: serving.AcceptanceTracker;
+  readonly acceptance: serving.AcceptanceTracker;
   readonly client: endpointClients.EndpointClient;
   /** Detects endpoints that crashed, and the requests that they were running. */
   readonly crashDetector: crashDetectors.EndpointCrashDetector;
--- a/packages/gateway/src/peerLink.ts
+++ b/packages/gateway/src/peerLink.ts
@@ -44,7 +44,7 @@
   readonly loads: serving.EngineLoadTracker;
   readonly demand: serving.Demand;
   readonly speeds: serving.ServiceSpeeds;
-  readonly sizeShares: serving.AcceptanceTracker;
+  readonly acceptance: serving.AcceptanceTracker;
   readonly suspects: serving.SuspectTable;
   readonly log: decisionLogs.DecisionLog;
   readonly ready: () => boolean;
--- a/packages/gateway/src/peerWork.ts
+++ b/packages/gateway/src/peerWork.ts
@@ -19,7 +19,7 @@
   readonly loads: serving.EngineLoadTracker;
   readonly demand: serving.Demand;
   readonly speeds: serving.ServiceSpeeds;
-  readonly sizeShares: serving.AcceptanceTracker;
+  readonly acceptance: serving.AcceptanceTracker;
 }
 
 /** The fields of a heartbeat that concern the engines' work. */
@@ -67,7 +67,7 @@
       ),
       reads: this.#readMessages(),
       observations: this.#observationMessages(),
-      sizes: this.#parts.sizeShares.takeUnsentCounts().map((count) => protobuf.create(messages.SizeCountSchema, count)),
+      sizes: this.#parts.acceptance.takeUnsentCounts().map((count) => protobuf.create(messages.SizeCountSchema, count)),
       readingLoadThousandths: toUint32(demand.readingLoad(now) * THOUSANDTHS),
       eventsPerSecond: toUint32(demand.eventsPerMs(now) * MS_PER_SECOND),
     };
@@ -90,7 +90,7 @@
       loads.notePeerRead({ endpointId: endpoint, model, part: { id: part, tokens }, isRead });
     }
     this.#applyObservations(pulse.observations);
-    for (const count of pulse.sizes) this.#parts.sizeShares.addPeerCount(count, now);
+    for (const count of pulse.sizes) this.#parts.acceptance.addPeerCount(count, now);
   }
 
   #readMessages(): messages.PartRead[] {
--- a/packages/gateway/src/sendChooser.ts
+++ b/packages/gateway/src/sendChooser.ts
@@ -167,7 +167,7 @@
     plan: serving.EnginePlan,
     placement: serving.PlacementInputs,
   ): neverthrow.Result<serving.EnginePlan, serving.Rejection> {
-    const { random, sizeShares, speeds } = this.#context;
+    const { random, acceptance, speeds } = this.#context;
     const { route, sends, mayHaveRun, remainingMs } = this.#served;
     // Only a first send is subject to admission: a request that has been sent before is finished or retried.
     if (sends > 0 || mayHaveRun) return neverthrow.ok(plan);
@@ -179,7 +179,7 @@
       routeMs: route.timeoutMs,
       draw: random.next(),
     };
-    const admitted = serving.admitPrompt(plan, placement, limits, sizeShares);
+    const admitted = serving.admitPrompt(plan, placement, limits, acceptance);
     if (admitted.isErr()) this.#logRejected(plan, limits, admitted.error);
     else if (admitted.value.urgency !== plan.urgency) this.#logUrgencyRaised(plan, admitted.value);
     return admitted;
@@ -187,7 +187,7 @@
 
   #logRejected(plan: serving.EnginePlan, limits: serving.PromptLimits, rejection: serving.Rejection): void {
     const tokens = this.#served.caller.headers.prompt?.promptTokens ?? 0;
-    const rates = this.#context.sizeShares.acceptanceRates(limits.kind, tokens, performance.now());
+    const rates = this.#context.acceptance.acceptanceRates(limits.kind, tokens, performance.now());
     this.#context.log.info("turned-away", {
       id: this.#served.id,
       predictedMs: Math.round(plan.predictedMs),
--- a/packages/gateway/tests/helpers/exchangeHarness.ts
+++ b/packages/gateway/tests/helpers/exchangeHarness.ts
@@ -202,7 +202,7 @@
       health: new serving.EndpointHealth(),
       speeds: new serving.ServiceSpeeds(),
       demand: new serving.Demand(),
-      sizeShares: new serving.AcceptanceTracker(),
+      acceptance: new serving.AcceptanceTracker(),
       client: this.#client,
       crashDetector: new crashDetectors.EndpointCrashDetector({
         log: new decisionLogs.DecisionLog("vm-1", "info", sink),
--- a/packages/gateway/tests/peerIncarnations.test.ts
+++ b/packages/gateway/tests/peerIncarnations.test.ts
@@ -58,7 +58,7 @@
       demand: new serving.Demand(),
       speeds: new serving.ServiceSpeeds(),
       suspects: new serving.SuspectTable({ isRefuted: () => false, onChange: () => undefined }),
-      sizeShares: new serving.AcceptanceTracker(),
+      acceptance: new serving.AcceptanceTracker(),
       log: new decisionLogs.DecisionLog("vm-1", "info", sink),
       ready: () => true,
       storeSilentMs: () => 0,
--- a/packages/gateway/tests/peerLink.test.ts
+++ b/packages/gateway/tests/peerLink.test.ts
@@ -70,7 +70,7 @@
     demand: new serving.Demand(),
     speeds: new serving.ServiceSpeeds(),
     suspects: new serving.SuspectTable({ isRefuted: () => false, onChange: () => undefined }),
-    sizeShares: new serving.AcceptanceTracker(),
+    acceptance: new serving.AcceptanceTracker(),
     log: new decisionLogs.DecisionLog("vm-1", "fatal", { writableLength: 0, write: () => true }),
     ready: () => true,
     storeSilentMs: () => 0,
