--- a/packages/gateway/src/answerReceiver.ts
+++ b/packages/gateway/src/answerReceiver.ts
@@ -53,11 +53,11 @@
   }
 
   /** {@inheritDoc sendings.AnswerReceiver.onBroken} */
-  onBroken(fate: serving.SendOutcome, detail: string): void {
+  onBroken(outcome: serving.SendOutcome, detail: string): void {
     const { active, results } = this.#send;
     if (!results.end(active)) return;
     if (this.#notRun) results.failed(active, serving.SendOutcome.Declined, detail);
-    else results.broken(active, fate, detail);
+    else results.broken(active, outcome, detail);
   }
 
   #createBody(status: number, headers: sendings.AnswerHeaders): answerBodies.AnswerBody {
--- a/packages/gateway/src/endpointSend.ts
+++ b/packages/gateway/src/endpointSend.ts
@@ -148,9 +148,9 @@
     this.#parts.pool.discard(this.#connection);
   }
 
-  #break(fate: serving.SendOutcome, detail: string): void {
+  #break(outcome: serving.SendOutcome, detail: string): void {
     if (this.#over) return;
     this.#discard();
-    this.#parts.receiver.onBroken(fate, detail);
+    this.#parts.receiver.onBroken(outcome, detail);
   }
 }
--- a/packages/gateway/src/exchangeParts.ts
+++ b/packages/gateway/src/exchangeParts.ts
@@ -30,18 +30,18 @@
    * Handles a send that gave no answer to forward.
    *
    * @param active - the send
-   * @param fate - whether the request may have run
+   * @param outcome - whether the request may have run
    * @param detail - what went wrong
    */
-  failed(active: activeSends.ActiveSend, fate: serving.SendOutcome, detail: string): void;
+  failed(active: activeSends.ActiveSend, outcome: serving.SendOutcome, detail: string): void;
   /**
    * Handles a send whose connection broke, possibly because its endpoint crashed.
    *
    * @param active - the send
-   * @param fate - whether the request may have run
+   * @param outcome - whether the request may have run
    * @param detail - what went wrong
    */
-  broken(active: activeSends.ActiveSend, fate: serving.SendOutcome, detail: string): void;
+  broken(active: activeSends.ActiveSend, outcome: serving.SendOutcome, detail: string): void;
   /** Continues the request with another send. */
   sendNext(): void;
 }
--- a/packages/gateway/src/sending.ts
+++ b/packages/gateway/src/sending.ts
@@ -24,10 +24,10 @@
   /**
    * The connection broke before the answer was complete.
    *
-   * @param fate - whether the request may have run
+   * @param outcome - whether the request may have run
    * @param detail - what went wrong
    */
-  onBroken(fate: serving.SendOutcome, detail: string): void;
+  onBroken(outcome: serving.SendOutcome, detail: string): void;
 }
 
 /** A request that is being sent to an endpoint, or waits for its answer. */
--- a/packages/gateway/src/servedRequest.ts
+++ b/packages/gateway/src/servedRequest.ts
@@ -172,16 +172,16 @@
   /**
    * Decides how the request continues after a send without a usable answer.
    *
-   * @param fate - whether that send may have run the request
+   * @param outcome - whether that send may have run the request
    * @returns the next step
    */
-  decideNextStep(fate: serving.SendOutcome): serving.NextStep {
+  decideNextStep(outcome: serving.SendOutcome): serving.NextStep {
     const { view, budgets } = this.#context;
     const hasUntried = view.directory
       .availableEndpoints(this.#service)
       .some((endpoint) => !this.#triedEndpoints.has(endpoint.id));
     return serving.nextStep({
-      outcome: fate,
+      outcome,
       mayHaveRun: this.#mayHaveRun,
       requestClass: this.#route.requestClass,
       resumable: this.#route.resumable,
