--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -291,14 +291,14 @@
   async stop(): Promise<void> {
     if (this.#stopping) return;
     this.#stopping = true;
-    const heardAt = performance.now();
-    const earliestAt = this.#loopWatch.earliestSignalAt();
+    const receivedAt = performance.now();
+    const earliestSignalAt = this.#loopWatch.earliestSignalAt();
     const shutdown = new serving.GracefulShutdown({
-      earliestSignalAt: earliestAt,
-      receivedAt: heardAt,
+      earliestSignalAt,
+      receivedAt,
       graceMs: this.#settings.stopGraceMs,
     });
-    const heardLateMs = Math.round(heardAt - earliestAt);
+    const heardLateMs = Math.round(receivedAt - earliestSignalAt);
     this.#log.info("stop", { open: this.#listener.openRequests, heardLateMs });
     this.#listener.beginShutdown(shutdown);
     this.#peers.sendHeartbeatsNow();
@@ -313,7 +313,10 @@
     this.#protection.stop();
     this.#peers.stop();
     this.#loopWatch.stop();
-    this.#log.info("stopped", { open: this.#listener.openRequests, tookMs: Math.round(performance.now() - heardAt) });
+    this.#log.info("stopped", {
+      open: this.#listener.openRequests,
+      tookMs: Math.round(performance.now() - receivedAt),
+    });
   }
 
   /**
--- a/packages/gateway/src/peerLink.ts
+++ b/packages/gateway/src/peerLink.ts
@@ -327,7 +327,7 @@
       storeSilentMs: pulse.storeSilentMs,
       followsClosely: pulse.followsClosely,
       ...peerWorks.demandFrom(pulse),
-      heardAt: now,
+      lastReceivedAt: now,
     });
     if (previous === undefined || previous.incarnation !== pulse.incarnation || previous.ready !== pulse.ready) {
       this.#parts.log.info("peer", { peer: pulse.vm, incarnation: pulse.incarnation, ready: pulse.ready });
--- a/packages/gateway/src/peerTable.ts
+++ b/packages/gateway/src/peerTable.ts
@@ -27,7 +27,8 @@
   readonly readingLoad: number;
   /** Events per millisecond that its callers' streams require. */
   readonly eventsPerMs: number;
-  readonly heardAt: number;
+  /** Time at which its last heartbeat was received, in milliseconds. */
+  readonly lastReceivedAt: number;
 }
 
 /** State of a daemon that may send news to others. */
@@ -224,5 +225,5 @@
 }
 
 function isLive(state: PeerState, now: number): boolean {
-  return now - state.heardAt <= Math.max(PEER_SILENT_MS, SILENT_AFTER_HEARTBEATS * state.nextWithinMs);
+  return now - state.lastReceivedAt <= Math.max(PEER_SILENT_MS, SILENT_AFTER_HEARTBEATS * state.nextWithinMs);
 }
--- a/packages/gateway/src/peers/activeSetTracker.ts
+++ b/packages/gateway/src/peers/activeSetTracker.ts
@@ -61,7 +61,7 @@
       leader: decision?.leader,
       names: activeVms.join(" "),
       heard: others.length,
-      oldestMs: Math.round(Math.max(0, ...others.map(({ heardAt }) => now - heardAt))),
+      oldestMs: Math.round(Math.max(0, ...others.map(({ lastReceivedAt }) => now - lastReceivedAt))),
       wantedCores: decision?.wantedCores?.toFixed(2),
     });
     return true;
--- a/packages/gateway/tests/helpers/simulatedFleet.ts
+++ b/packages/gateway/tests/helpers/simulatedFleet.ts
@@ -84,7 +84,7 @@
       followsClosely: false,
       readingLoad: 0,
       eventsPerMs: 0,
-      heardAt: now,
+      lastReceivedAt: now,
     };
   }
 }
--- a/packages/gateway/tests/peerLink.test.ts
+++ b/packages/gateway/tests/peerLink.test.ts
@@ -102,7 +102,7 @@
       followsClosely: false,
       readingLoad: 0,
       eventsPerMs: 0,
-      heardAt: performance.now(),
+      lastReceivedAt: performance.now(),
     });
     view.configure(CONFIGURATION, new Uint8Array([2]), 2);
     link.noteConfiguration();
--- a/packages/gateway/tests/peerTable.test.ts
+++ b/packages/gateway/tests/peerTable.test.ts
@@ -4,7 +4,7 @@
 
 const suite = uvu.suite("peer table");
 
-function state(vm: string, heardAt: number, options: Partial<peerTables.PeerState> = {}): peerTables.PeerState {
+function state(vm: string, lastReceivedAt: number, options: Partial<peerTables.PeerState> = {}): peerTables.PeerState {
   return {
     vm,
     incarnation: vm,
@@ -21,7 +21,7 @@
     followsClosely: true,
     readingLoad: 0,
     eventsPerMs: 0,
-    heardAt,
+    lastReceivedAt,
     ...options,
   };
 }
