--- a/packages/serving/src/suspectTable.ts
+++ b/packages/serving/src/suspectTable.ts
@@ -140,7 +140,7 @@
   suspicionOf(fingerprint: string, now: number): Suspicion {
     const suspect = this.#suspects.get(fingerprint);
     if (suspect === undefined || isExpired(suspect, now)) return Suspicion.None;
-    return this.#judge(fingerprint, suspect, now);
+    return this.#evaluate(fingerprint, suspect, now);
   }
 
   /**
@@ -282,7 +282,7 @@
     this.#quarantined.delete(fingerprint);
   }
 
-  #judge(fingerprint: string, suspect: Suspect, now: number): Suspicion {
+  #evaluate(fingerprint: string, suspect: Suspect, now: number): Suspicion {
     if (suspect.crashes.size >= QUARANTINE_CRASHES) {
       return rejectedUntil(suspect) > now ? Suspicion.Quarantined : Suspicion.Isolated;
     }
@@ -310,7 +310,7 @@
   }
 
   #updateSuspicion(fingerprint: string, suspect: Suspect, now: number): void {
-    const suspicion = this.#judge(fingerprint, suspect, now);
+    const suspicion = this.#evaluate(fingerprint, suspect, now);
     if (suspicion === suspect.suspicion) return;
     suspect.suspicion = suspicion;
     this.#parts.onChange(fingerprint, suspicion, suspect.crashes.size);
