--- a/packages/gateway/src/exchange.ts
+++ b/packages/gateway/src/exchange.ts
@@ -17,7 +17,7 @@
   readonly #served: servedRequests.ServedRequest;
   readonly #feedback: endpointFeedbacks.EndpointFeedback;
   readonly #end: requestEnds.RequestEnd;
-  readonly #course: requestForwarders.RequestForwarder;
+  readonly #forwarder: requestForwarders.RequestForwarder;
   #deadlineTimer: NodeJS.Timeout | undefined;
 
   /**
@@ -38,7 +38,7 @@
     this.#served = new servedRequests.ServedRequest(context, request, route, body);
     this.#feedback = new endpointFeedbacks.EndpointFeedback(context, this.#served);
     this.#end = new requestEnds.RequestEnd(context, this.#served, answer, () => this.#onEnded());
-    this.#course = new requestForwarders.RequestForwarder({
+    this.#forwarder = new requestForwarders.RequestForwarder({
       context,
       served: this.#served,
       handover: new prefillHandovers.PrefillHandover(context),
@@ -66,7 +66,7 @@
     this.#deadlineTimer = setTimeout(onTime, Math.max(0, this.#served.remainingMs));
     this.#served.chooseService();
     this.#context.budgets.of(this.#served.service).noteRequest(performance.now());
-    this.#course.sendNext();
+    this.#forwarder.sendNext();
   }
 
   /** Handles that the caller has disconnected: the send under way is cancelled. */
@@ -88,7 +88,7 @@
 
   #onDeadline(): void {
     if (this.#end.over) return;
-    const { active } = this.#course;
+    const { active } = this.#forwarder;
     const mayHaveRun = this.#mayHaveRun();
     if (active !== undefined) this.#feedback.recordResult(active, serving.SendResult.Silent);
     this.#end.timeOut(mayHaveRun);
@@ -96,13 +96,13 @@
 
   /** @returns whether a send may have run the request, including the one under way */
   #mayHaveRun(): boolean {
-    const { active } = this.#course;
+    const { active } = this.#forwarder;
     const mayBeRunning = active?.stage === sendChoosers.Stage.Answering && active.wasDispatched;
     return this.#served.mayHaveRun || mayBeRunning;
   }
 
   #onEnded(): void {
     clearTimeout(this.#deadlineTimer);
-    this.#course.stop();
+    this.#forwarder.stop();
   }
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -115,7 +115,7 @@
       onCrashed: () => this.#metrics.count("endpoints_ended"),
       onEscalated: () => this.#peers.sendHeartbeatsNow(),
     });
-    const { crashDetector: endDetector, gate: suspects } = this.#protection;
+    const { crashDetector, gate: suspects } = this.#protection;
     this.#context = {
       settings,
       log: this.#log,
@@ -128,7 +128,7 @@
       demand: new serving.Demand(),
       acceptance: new serving.AcceptanceTracker(),
       client,
-      crashDetector: endDetector,
+      crashDetector,
       suspects,
       budgets: new contexts.RetryBudgets(settings.retryBounds, performance.now()),
       random,
--- a/packages/gateway/src/suspects/suspectGate.ts
+++ b/packages/gateway/src/suspects/suspectGate.ts
@@ -51,8 +51,8 @@
     if (this.#trials.has(served)) return neverthrow.ok(true);
     if (this.table.isEmpty) return neverthrow.ok(false);
     const now = performance.now();
-    const { content, contentAndCaller: ofCaller } = served.fingerprints;
-    for (const fingerprint of [content, ofCaller]) {
+    const { content, contentAndCaller } = served.fingerprints;
+    for (const fingerprint of [content, contentAndCaller]) {
       const suspicion = this.table.suspicionOf(fingerprint, now);
       if (suspicion === serving.Suspicion.Quarantined) return this.#reject(served, fingerprint, suspicion, now);
       if (suspicion !== serving.Suspicion.Isolated) continue;
@@ -71,16 +71,16 @@
   isSuspected(served: servedRequests.ServedRequest): boolean {
     if (this.table.isEmpty) return false;
     const now = performance.now();
-    const { content, contentAndCaller: ofCaller } = served.fingerprints;
-    return [content, ofCaller].some((each) => this.table.suspicionOf(each, now) !== serving.Suspicion.None);
+    const { content, contentAndCaller } = served.fingerprints;
+    return [content, contentAndCaller].some((each) => this.table.suspicionOf(each, now) !== serving.Suspicion.None);
   }
 
   /** @param served - a request that has run successfully */
   noteSuccess(served: servedRequests.ServedRequest): void {
     if (this.table.isEmpty) return;
     const now = performance.now();
-    const { content, contentAndCaller: ofCaller } = served.fingerprints;
-    for (const fingerprint of [content, ofCaller]) this.table.noteSuccess(fingerprint, now);
+    const { content, contentAndCaller } = served.fingerprints;
+    for (const fingerprint of [content, contentAndCaller]) this.table.noteSuccess(fingerprint, now);
   }
 
   /** @param served - a request that is over, with its trial */
