--- a/packages/gateway/src/closeFollowers.ts
+++ b/packages/gateway/src/closeFollowers.ts
@@ -34,7 +34,7 @@
 export function followsClosely(own: string, followers: readonly Follower[]): boolean {
   const eligible = followers.filter((follower) => follower.eligible);
   if (eligible.length < MIN_DAEMONS_TO_SHARE) return true;
-  // Standby daemons are heard by few others, and run short of processor time first.
+  // Few other daemons receive heartbeats from standby daemons, which run short of processor time first.
   const active = eligible.filter((follower) => follower.active);
   const ranked = serving.rankByCapacity(active.length > 0 ? active : eligible);
   return spreadOverDataCentres(ranked)
--- a/packages/gateway/src/fleetViewUpdater.ts
+++ b/packages/gateway/src/fleetViewUpdater.ts
@@ -174,16 +174,16 @@
    * learns the address that the heartbeat came from. The address for callers comes from the daemon itself or from its
    * entry before it left; without one, no callers are sent to it until its entry can be written.
    *
-   * @param heard - the daemon as reported; fields that were not reported are empty
+   * @param daemon - the daemon as reported; fields that were not reported are empty
    */
-  addDiscoveredDaemon(heard: daemonEntries.DaemonEntry): void {
+  addDiscoveredDaemon(daemon: daemonEntries.DaemonEntry): void {
     const { layout, view, log } = this.#parts;
-    const { vm, incarnation, peers } = heard;
+    const { vm, incarnation, peers } = daemon;
     const key = `${layout.daemonPrefix}${vm}`;
     const known = view.daemons.get(key);
-    if (known !== undefined && (heard.callers === "" || heard.callers === known.callers)) return;
+    if (known !== undefined && (daemon.callers === "" || daemon.callers === known.callers)) return;
     const before = view.former.remove(vm);
-    const entry = heard.callers === "" && before !== undefined ? { ...before, incarnation, peers } : heard;
+    const entry = daemon.callers === "" && before !== undefined ? { ...before, incarnation, peers } : daemon;
     view.daemons.set(key, entry);
     log.info("daemon-joined", { daemon: vm, address: peers, callers: entry.callers, source: Source.Peer });
   }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -175,7 +175,7 @@
       storeSilentMs: () => this.#follower.silentMs,
       followsClosely: () => this.#storeReadingMode.followsClosely(performance.now()),
       busyCores: () => this.#utilization.share * settings.capacity,
-      onDaemon: (heard) => fleetViewUpdater.addDiscoveredDaemon(heard),
+      onDaemon: (daemon) => fleetViewUpdater.addDiscoveredDaemon(daemon),
       onConfiguration: (document, revision) =>
         fleetViewUpdater.applyConfiguration(document, revision, fleetViewUpdaters.Source.Peer),
       onEndpoint: (id, value, revision) =>
@@ -252,8 +252,10 @@
     const others = [...this.#view.daemons.values()].filter(
       (daemon) => daemon.vm !== this.#entry.vm && daemon.callers !== "",
     );
-    const { activeVms: names } = this.#peers.activeSet;
-    const available = others.filter(({ vm }) => names.includes(vm) || this.#peers.peerTable.mayTakeCallers(vm, now));
+    const { activeVms } = this.#peers.activeSet;
+    const available = others.filter(
+      ({ vm }) => activeVms.includes(vm) || this.#peers.peerTable.mayTakeCallers(vm, now),
+    );
     if (this.ready) available.push(this.#entry);
     const active = available.filter((daemon) => this.#isActive(daemon.vm, now));
     const choices = [active, available].map((daemons) => daemons.filter((daemon) => daemon.dataCentre === dataCentre));
@@ -341,7 +343,8 @@
    */
   #isOrderCandidate(): boolean {
     if (!this.ready || this.#follower.silentMs > peerTables.STORE_SILENT_MS) return false;
-    // A standby daemon hears only from a part of the fleet, and would wrongly consider itself the candidate.
+    // A standby daemon receives heartbeats only from a part of the fleet, and would wrongly consider itself the
+    // candidate.
     if (!this.#peers.activeSet.active) return false;
     const peers = this.#peers.peerTable
       .live(performance.now())
--- a/packages/gateway/src/peerLink.ts
+++ b/packages/gateway/src/peerLink.ts
@@ -55,7 +55,7 @@
   /** Busy part of the VM's capacity, in cores. */
   readonly busyCores: () => number;
   /** Called with a daemon that sent a heartbeat, or that a peer reported. */
-  readonly onDaemon: (heard: daemonEntries.DaemonEntry) => void;
+  readonly onDaemon: (daemon: daemonEntries.DaemonEntry) => void;
   /** Called with a configuration document and its revision. */
   readonly onConfiguration: (document: Uint8Array, revision: number) => void;
   /** Called with an endpoint's entry and its revision. */
@@ -192,11 +192,11 @@
   #recipients(now: number): recipientsModule.Recipients {
     const reportedActive = new Set(this.peerTable.live(now).flatMap((peer) => peer.activeVms));
     const knownDaemons = this.#otherDaemons().map((entry) => {
-      const heard = this.peerTable.liveState(entry.vm, now);
+      const state = this.peerTable.liveState(entry.vm, now);
       return {
         entry,
-        live: heard !== undefined,
-        dispatching: heard?.dispatching ?? false,
+        live: state !== undefined,
+        dispatching: state?.dispatching ?? false,
         reportedActive: reportedActive.has(entry.vm),
       };
     });
--- a/packages/gateway/src/peerTable.ts
+++ b/packages/gateway/src/peerTable.ts
@@ -139,8 +139,8 @@
   }
 
   /**
-   * Decides whether a daemon's address may be given to callers. A daemon that is registered but was never heard from
-   * counts as available, because a daemon that has just started has received no heartbeats yet.
+   * Decides whether a daemon's address may be given to callers. A registered daemon from which no heartbeat was ever
+   * received counts as available, because a daemon that has just started has received no heartbeats yet.
    *
    * @param vm - VM of a registered daemon
    * @param now - current time in milliseconds
@@ -150,7 +150,7 @@
     const state = this.#states.get(vm);
     if (state === undefined) return true;
     if (isLive(state, now)) return state.ready;
-    // If no daemon is heard, this daemon is cut off, and the silence says nothing about the others.
+    // If no daemon sends heartbeats, this daemon is cut off, and the silence says nothing about the others.
     return this.live(now).length === 0 && state.ready;
   }
 
--- a/packages/gateway/src/peers/recipients.ts
+++ b/packages/gateway/src/peers/recipients.ts
@@ -40,7 +40,7 @@
  *
  * @param own - this daemon
  * @param others - the other daemons that it knows
- * @param round - number of rounds sent so far; determines which daemons of an unheard data centre are probed
+ * @param round - number of rounds sent so far; determines which daemons of a silent data centre are probed
  * @returns the recipients
  */
 export function chooseRecipients(own: Sender, others: readonly KnownDaemon[], round: number): Recipients {
@@ -52,27 +52,27 @@
   }
   const rest = others.filter((other) => !dispatching.includes(other));
   const chosen = rest.filter((other) => (own.isStandbyContact && isLocal(other)) || other.reportedActive);
-  const unheard = unheardDataCentres(rest, dispatching, own.dataCentre);
-  const probed = [...unheard.values()].flatMap((daemons) => takeRoundRobin(daemons, round));
+  const silent = silentDataCentres(rest, dispatching, own.dataCentre);
+  const probed = [...silent.values()].flatMap((daemons) => takeRoundRobin(daemons, round));
   return {
     frequent: entriesOf(dispatching),
     occasional: entriesOf([...new Set([...chosen, ...probed])]),
   };
 }
 
-/** Daemons of other data centres from which no dispatching daemon is heard, by data centre. */
-function unheardDataCentres(
+/** Daemons of other data centres from whose dispatching daemons no heartbeats are received, by data centre. */
+function silentDataCentres(
   rest: readonly KnownDaemon[],
   dispatching: readonly KnownDaemon[],
   own: string,
 ): ReadonlyMap<string, KnownDaemon[]> {
-  const heard = new Set(dispatching.map(({ entry }) => entry.dataCentre)).add(own);
-  const unheard = new Map<string, KnownDaemon[]>();
+  const receivedFrom = new Set(dispatching.map(({ entry }) => entry.dataCentre)).add(own);
+  const silent = new Map<string, KnownDaemon[]>();
   for (const daemon of rest) {
     const { dataCentre } = daemon.entry;
-    if (!heard.has(dataCentre)) unheard.set(dataCentre, [...(unheard.get(dataCentre) ?? []), daemon]);
+    if (!receivedFrom.has(dataCentre)) silent.set(dataCentre, [...(silent.get(dataCentre) ?? []), daemon]);
   }
-  return unheard;
+  return silent;
 }
 
 function takeRoundRobin(daemons: readonly KnownDaemon[], round: number): KnownDaemon[] {
--- a/packages/gateway/src/requestForwarder.ts
+++ b/packages/gateway/src/requestForwarder.ts
@@ -28,7 +28,7 @@
   }
 
   /**
-   * {@inheritDoc exchangeParts.SendResults.sendNext}
+   * {@inheritDoc exchangeParts.SendResultHandler.sendNext}
    *
    * An exception in a decision fails this request only. Uncaught, it would end the daemon with all its callers, or leave
    * this caller without an answer if the HTTP library caught it.
@@ -75,7 +75,7 @@
     else this.#dispatch(choice.value);
   }
 
-  /** {@inheritDoc exchangeParts.SendResults.end} */
+  /** {@inheritDoc exchangeParts.SendResultHandler.end} */
   end(active: activeSends.ActiveSend): boolean {
     if (this.#active !== active) return false;
     this.#active = undefined;
@@ -83,7 +83,7 @@
     return !this.#parts.end.over;
   }
 
-  /** {@inheritDoc exchangeParts.SendResults.failed} */
+  /** {@inheritDoc exchangeParts.SendResultHandler.failed} */
   failed(active: activeSends.ActiveSend, outcome: serving.SendOutcome, detail: string): void {
     const { context, end, feedback, handover, served } = this.#parts;
     const declined = outcome === serving.SendOutcome.Declined;
@@ -109,7 +109,7 @@
     else end.fail(BAD_GATEWAY, "endpoint-failed", "the request may have run and its answer is lost");
   }
 
-  /** {@inheritDoc exchangeParts.SendResults.broken} */
+  /** {@inheritDoc exchangeParts.SendResultHandler.broken} */
   broken(active: activeSends.ActiveSend, outcome: serving.SendOutcome, detail: string): void {
     const { context, served } = this.#parts;
     if (active.wasDispatched) {
--- a/packages/gateway/tests/activeDaemons.test.ts
+++ b/packages/gateway/tests/activeDaemons.test.ts
@@ -119,8 +119,8 @@
     simulated.advance(2 * SETTLED_MS);
     const now = 3 * SETTLED_MS;
     for (const daemon of simulated.active()) {
-      const heard = daemon.peerTable.live(now).filter((peer) => peer.dispatching);
-      assert.is(heard.length, simulated.active().length - 1, daemon.entry.vm);
+      const dispatchingPeers = daemon.peerTable.live(now).filter((peer) => peer.dispatching);
+      assert.is(dispatchingPeers.length, simulated.active().length - 1, daemon.entry.vm);
     }
   },
 );
--- a/packages/gateway/tests/closeFollowers.test.ts
+++ b/packages/gateway/tests/closeFollowers.test.ts
@@ -44,7 +44,7 @@
   assert.is(selectFollowers(followers).length, 3);
 });
 
-// Standby daemons are heard only by active ones: what they read would reach no other daemon.
+// Only active daemons receive heartbeats from standby daemons: what those read would reach no other daemon.
 suite("active daemons follow closely, not standby daemons", () => {
   const followers = daemons(20, "a").map((follower, index) => ({ ...follower, active: index < 3 }));
   const chosen = selectFollowers(followers);
@@ -66,7 +66,7 @@
   assert.not(closeFollowers.isUpdatedByPeers(own, false, []));
 });
 
-suite("each daemon of a small fleet reads for itself, and so does one that hears no other", () => {
+suite("each daemon of a small fleet reads for itself, and so does one that receives heartbeats from no other", () => {
   assert.is(selectFollowers(daemons(5, "a")).length, 5);
   const alone = daemons(20, "a").map((follower) => ({ ...follower, eligible: follower.vm === "a-7" }));
   assert.ok(closeFollowers.followsClosely("a-7", alone));
--- a/packages/gateway/tests/helpers/simulatedFleet.ts
+++ b/packages/gateway/tests/helpers/simulatedFleet.ts
@@ -42,11 +42,11 @@
     const hasChanged = this.activeSet.update(now);
     const reportedActive = new Set(this.peerTable.live(now).flatMap(({ activeVms }) => activeVms));
     const knownDaemons = others.map((entry) => {
-      const heard = this.peerTable.liveState(entry.vm, now);
+      const state = this.peerTable.liveState(entry.vm, now);
       return {
         entry,
-        live: heard !== undefined,
-        dispatching: heard?.dispatching ?? false,
+        live: state !== undefined,
+        dispatching: state?.dispatching ?? false,
         reportedActive: reportedActive.has(entry.vm),
       };
     });
