--- a/packages/gateway/src/context.ts
+++ b/packages/gateway/src/context.ts
@@ -16,14 +16,14 @@
   readonly metrics: metricsModule.Metrics;
   readonly format: ports.MessageFormat;
   readonly view: fleetViews.FleetView;
-  readonly board: serving.EngineLoadTracker;
+  readonly loads: serving.EngineLoadTracker;
   readonly health: serving.EndpointHealth;
   /** Learnt speeds of each service's engines. */
   readonly speeds: serving.ServiceSpeeds;
   /** Engine demand of the prompts that this daemon received. */
   readonly demand: serving.Demand;
   /** Shares of prompts that were accepted, by prompt size. */
-  readonly sizeShares: serving.AcceptanceTracker;
+  readonly acceptance: serving.AcceptanceTracker;
   readonly client: endpointClients.EndpointClient;
   /** Detects endpoints that crashed, and the requests that they were running. */
   readonly crashDetector: crashDetectors.EndpointCrashDetector;
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -115,20 +115,20 @@
       onCrashed: () => this.#metrics.count("endpoints_ended"),
       onEscalated: () => this.#peers.sendHeartbeatsNow(),
     });
-    const { crashDetector: endDetector, gate: suspects } = this.#protection;
+    const { crashDetector, gate: suspects } = this.#protection;
     this.#context = {
       settings,
       log: this.#log,
       metrics: this.#metrics,
       format: dependencies.format,
       view: this.#view,
-      board: new serving.EngineLoadTracker(),
+      loads: new serving.EngineLoadTracker(),
       health: new serving.EndpointHealth(),
       speeds: new serving.ServiceSpeeds(),
       demand: new serving.Demand(),
-      sizeShares: new serving.AcceptanceTracker(),
+      acceptance: new serving.AcceptanceTracker(),
       client,
-      crashDetector: endDetector,
+      crashDetector,
       suspects,
       budgets: new contexts.RetryBudgets(settings.retryBounds, performance.now()),
       random,
@@ -165,17 +165,17 @@
       settings,
       entry: this.#entry,
       view: this.#view,
-      board: this.#context.board,
+      loads: this.#context.loads,
       demand: this.#context.demand,
       speeds: this.#context.speeds,
-      sizeShares: this.#context.sizeShares,
+      acceptance: this.#context.acceptance,
       suspects: suspects.table,
       log: this.#log,
       ready: () => this.ready,
       storeSilentMs: () => this.#follower.silentMs,
       followsClosely: () => this.#storeReadingMode.followsClosely(performance.now()),
       busyCores: () => this.#utilization.share * settings.capacity,
-      onDaemon: (heard) => fleetViewUpdater.addDiscoveredDaemon(heard),
+      onDaemon: (daemon) => fleetViewUpdater.addDiscoveredDaemon(daemon),
       onConfiguration: (document, revision) =>
         fleetViewUpdater.applyConfiguration(document, revision, fleetViewUpdaters.Source.Peer),
       onEndpoint: (id, value, revision) =>
@@ -252,8 +252,10 @@
     const others = [...this.#view.daemons.values()].filter(
       (daemon) => daemon.vm !== this.#entry.vm && daemon.callers !== "",
     );
-    const { activeVms: names } = this.#peers.activeSet;
-    const available = others.filter(({ vm }) => names.includes(vm) || this.#peers.peerTable.mayTakeCallers(vm, now));
+    const { activeVms } = this.#peers.activeSet;
+    const available = others.filter(
+      ({ vm }) => activeVms.includes(vm) || this.#peers.peerTable.mayTakeCallers(vm, now),
+    );
     if (this.ready) available.push(this.#entry);
     const active = available.filter((daemon) => this.#isActive(daemon.vm, now));
     const choices = [active, available].map((daemons) => daemons.filter((daemon) => daemon.dataCentre === dataCentre));
@@ -291,14 +293,14 @@
   async stop(): Promise<void> {
     if (this.#stopping) return;
     this.#stopping = true;
-    const heardAt = performance.now();
-    const earliestAt = this.#loopWatch.earliestSignalAt();
+    const receivedAt = performance.now();
+    const earliestSignalAt = this.#loopWatch.earliestSignalAt();
     const shutdown = new serving.GracefulShutdown({
-      earliestSignalAt: earliestAt,
-      receivedAt: heardAt,
+      earliestSignalAt,
+      receivedAt,
       graceMs: this.#settings.stopGraceMs,
     });
-    const heardLateMs = Math.round(heardAt - earliestAt);
+    const heardLateMs = Math.round(receivedAt - earliestSignalAt);
     this.#log.info("stop", { open: this.#listener.openRequests, heardLateMs });
     this.#listener.beginShutdown(shutdown);
     this.#peers.sendHeartbeatsNow();
@@ -313,7 +315,10 @@
     this.#protection.stop();
     this.#peers.stop();
     this.#loopWatch.stop();
-    this.#log.info("stopped", { open: this.#listener.openRequests, tookMs: Math.round(performance.now() - heardAt) });
+    this.#log.info("stopped", {
+      open: this.#listener.openRequests,
+      tookMs: Math.round(performance.now() - receivedAt),
+    });
   }
 
   /**
@@ -338,7 +343,8 @@
    */
   #isOrderCandidate(): boolean {
     if (!this.ready || this.#follower.silentMs > peerTables.STORE_SILENT_MS) return false;
-    // A standby daemon hears only from a part of the fleet, and would wrongly consider itself the candidate.
+    // A standby daemon receives heartbeats only from a part of the fleet, and would wrongly consider itself the
+    // candidate.
     if (!this.#peers.activeSet.active) return false;
     const peers = this.#peers.peerTable
       .live(performance.now())
@@ -404,7 +410,7 @@
    */
   #forgetEndpoint(endpointId: string): void {
     this.#context.client.forget(endpointId);
-    this.#context.board.forget(endpointId);
+    this.#context.loads.forget(endpointId);
     this.#context.health.forget(endpointId);
     this.#context.suspects.forget(endpointId);
     this.#roles.forget(endpointId);
--- a/packages/gateway/src/peerLink.ts
+++ b/packages/gateway/src/peerLink.ts
@@ -41,10 +41,10 @@
   readonly settings: settingsModule.GatewaySettings;
   readonly entry: daemonEntries.DaemonEntry;
   readonly view: fleetViews.FleetView;
-  readonly board: serving.EngineLoadTracker;
+  readonly loads: serving.EngineLoadTracker;
   readonly demand: serving.Demand;
   readonly speeds: serving.ServiceSpeeds;
-  readonly sizeShares: serving.AcceptanceTracker;
+  readonly acceptance: serving.AcceptanceTracker;
   readonly suspects: serving.SuspectTable;
   readonly log: decisionLogs.DecisionLog;
   readonly ready: () => boolean;
@@ -55,7 +55,7 @@
   /** Busy part of the VM's capacity, in cores. */
   readonly busyCores: () => number;
   /** Called with a daemon that sent a heartbeat, or that a peer reported. */
-  readonly onDaemon: (heard: daemonEntries.DaemonEntry) => void;
+  readonly onDaemon: (daemon: daemonEntries.DaemonEntry) => void;
   /** Called with a configuration document and its revision. */
   readonly onConfiguration: (document: Uint8Array, revision: number) => void;
   /** Called with an endpoint's entry and its revision. */
@@ -158,14 +158,14 @@
 
   /** @returns whether this daemon is active or still has callers' requests in progress */
   get #dispatching(): boolean {
-    return this.activeSet.active || this.#parts.board.ownWork().size > 0;
+    return this.activeSet.active || this.#parts.loads.ownWork().size > 0;
   }
 
   #tick(): void {
     const now = performance.now();
     const hasChanged = this.activeSet.update(now);
     const recipients = this.#recipients(now);
-    const hasNewWork = this.#parts.board.hasUnsentReads || this.#serializedWork() !== this.#lastSentWork;
+    const hasNewWork = this.#parts.loads.hasUnsentReads || this.#serializedWork() !== this.#lastSentWork;
     this.#sendHeartbeats(now, recipients, {
       frequent: hasChanged || hasNewWork || now - this.#lastSentAt.frequent >= MAX_HEARTBEAT_INTERVAL_MS,
       occasional: hasChanged || now - this.#lastSentAt.occasional >= this.#occasionalIntervalMs,
@@ -192,11 +192,11 @@
   #recipients(now: number): recipientsModule.Recipients {
     const reportedActive = new Set(this.peerTable.live(now).flatMap((peer) => peer.activeVms));
     const knownDaemons = this.#otherDaemons().map((entry) => {
-      const heard = this.peerTable.liveState(entry.vm, now);
+      const state = this.peerTable.liveState(entry.vm, now);
       return {
         entry,
-        live: heard !== undefined,
-        dispatching: heard?.dispatching ?? false,
+        live: state !== undefined,
+        dispatching: state?.dispatching ?? false,
         reportedActive: reportedActive.has(entry.vm),
       };
     });
@@ -214,7 +214,7 @@
   }
 
   #serializedWork(): string {
-    return JSON.stringify([...this.#parts.board.ownWork()]);
+    return JSON.stringify([...this.#parts.loads.ownWork()]);
   }
 
   /**
@@ -327,7 +327,7 @@
       storeSilentMs: pulse.storeSilentMs,
       followsClosely: pulse.followsClosely,
       ...peerWorks.demandFrom(pulse),
-      heardAt: now,
+      lastReceivedAt: now,
     });
     if (previous === undefined || previous.incarnation !== pulse.incarnation || previous.ready !== pulse.ready) {
       this.#parts.log.info("peer", { peer: pulse.vm, incarnation: pulse.incarnation, ready: pulse.ready });
--- a/packages/gateway/tests/peerLink.test.ts
+++ b/packages/gateway/tests/peerLink.test.ts
@@ -66,11 +66,11 @@
     settings: { peers: { host: HOST, port: await freePorts.freePort() } } as never,
     entry,
     view,
-    board: new serving.EngineLoadTracker(),
+    loads: new serving.EngineLoadTracker(),
     demand: new serving.Demand(),
     speeds: new serving.ServiceSpeeds(),
     suspects: new serving.SuspectTable({ isRefuted: () => false, onChange: () => undefined }),
-    sizeShares: new serving.AcceptanceTracker(),
+    acceptance: new serving.AcceptanceTracker(),
     log: new decisionLogs.DecisionLog("vm-1", "fatal", { writableLength: 0, write: () => true }),
     ready: () => true,
     storeSilentMs: () => 0,
@@ -102,7 +102,7 @@
       followsClosely: false,
       readingLoad: 0,
       eventsPerMs: 0,
-      heardAt: performance.now(),
+      lastReceivedAt: performance.now(),
     });
     view.configure(CONFIGURATION, new Uint8Array([2]), 2);
     link.noteConfiguration();
