--- a/scripts/generateDocs.mjs
+++ b/scripts/generateDocs.mjs
@@ -27,7 +27,7 @@
 Callers and operators get each error as \`application/problem+json\` with its kind
 (\`title\`), a detail, the remedy, and \`outcome\`: \`not-run\` (nothing was dispatched,
 or the endpoint says itself that it did not run), \`ran\`, or \`unknown\` (it may have
-run). \`Retry-After\` tells when to come back, where that helps. This page is
+run). \`Retry-After\` tells when to retry, where that helps. This page is
 written by \`npm run docs\`.
 
 | kind | status | remedy |
